--- a/core/node/node_config.c
+++ b/core/node/node_config.c
@@ -6,32 +6,34 @@
 
 /*
  * The configuration in force. It comes from the key-value service or from
- * peers; only a higher revision is ever taken, so a late answer, a delayed
- * watch or a peer that lags cannot bring an older one back.
+ * peers. Only a higher revision is applied, so a late answer, a delayed watch
+ * event or a peer with an old copy cannot restore an older configuration.
  */
 
 #define CONFIG_KEY "/siskinlink/config"
-#define CONFIG_READ_US (60 * G_USEC_PER_SEC)
-#define CONFIG_RETRY_US G_USEC_PER_SEC
-#define CONFIG_WATCHERS 3
+#define CONFIG_READ_INTERVAL_US (60 * G_USEC_PER_SEC)
+#define CONFIG_RETRY_INTERVAL_US G_USEC_PER_SEC
+#define CONFIG_MAX_WATCHERS 3
 
 /*
- * Until the others are known each node would count itself among the few that
- * watch. Seeds answer within some heartbeats; the first read needs no watch.
+ * Delay of the watch after the start. Until a node knows the other members, it
+ * would count itself among the few watchers. Seeds answer within some
+ * heartbeats, and the first read needs no watch.
  */
-#define CONFIG_WATCH_AFTER_US (2 * G_USEC_PER_SEC)
+#define CONFIG_WATCH_DELAY_US (2 * G_USEC_PER_SEC)
 #define CONFIG_ANNOUNCE_FANOUT 3
 
-/* A copy of half a MB has come by then over 10 Mbit/s, unless it was lost. */
-#define CONFIG_COPY_US G_USEC_PER_SEC
+/* Enough for a copy of half a MB at 10 Mbit/s; after that it counts as lost. */
+#define CONFIG_COPY_TIMEOUT_US G_USEC_PER_SEC
 
-/* Revision of the configuration in force; 0 before the first. */
+/* Revision of the configuration in force; 0 if there is none yet. */
 int64_t node_config_revision(const struct node *node)
 {
 	return node->config ? node->config->revision : 0;
 }
 
-static void node_send_config_ask(struct node *node, const char *peer_address)
+static void node_send_config_request(struct node *node,
+				     const char *peer_address)
 {
 	struct peer_message *message =
 		node_message_create(node, PEER_CONFIG_ASK);
@@ -41,22 +43,23 @@
 }
 
 /*
- * Asks a member that named a higher revision for its copy, one at a time: all
- * members name it, and a copy from each would fill the link that the first one
- * comes by.
+ * Requests the copy of a member that announced a higher revision. There is one
+ * request at a time: all members announce the revision, and a copy from each
+ * would fill the link that carries the first one.
  */
-static void node_ask_config(struct node *node, const char *peer_address)
+static void node_request_config(struct node *node, const char *peer_address)
 {
 	if (node->config_asked_us &&
-	    node->now_us - node->config_asked_us < CONFIG_COPY_US)
+	    node->now_us - node->config_asked_us < CONFIG_COPY_TIMEOUT_US)
 		return;
 	node->config_asked_us = node->now_us;
-	node_send_config_ask(node, peer_address);
+	node_send_config_request(node, peer_address);
 }
 
 /*
- * Tells a few random members which revision is here. Who lacks it asks for it
- * and tells others in turn; who has a newer one sends that.
+ * Announces this node's revision to a few random members. A member with a
+ * lower revision requests a copy and later announces it in turn; a member with
+ * a higher revision sends its own copy.
  */
 static void node_announce_config(struct node *node)
 {
@@ -71,7 +74,7 @@
 								(gint32)count));
 
 		if (strcmp(member->name, node->options.name) != 0)
-			node_send_config_ask(node, member->peer_address);
+			node_send_config_request(node, member->peer_address);
 	}
 }
 
@@ -91,8 +94,8 @@
 	}
 }
 
-/* For those of the same process that act by the configuration too. */
-static void node_tell_config(struct node *node)
+/* Passes the configuration to the other modules of this process. */
+static void node_publish_config(struct node *node)
 {
 	struct action *action = action_list_add(node->actions, ACTION_CONFIG);
 
@@ -100,7 +103,8 @@
 	action->config.document = g_bytes_ref(node->config_document);
 }
 
-static void node_adopt_config(struct node *node, GBytes *document,
+/* Applies the document if its revision is higher and it is valid. */
+static void node_apply_config(struct node *node, GBytes *document,
 			      int64_t revision, const char *source)
 {
 	struct config *config;
@@ -130,7 +134,7 @@
 	node_share_reset(node);
 	node_place_rehome(node);
 	node_announce_config(node);
-	node_tell_config(node);
+	node_publish_config(node);
 	text = g_strdup_printf("%" G_GINT64_FORMAT " from %s", revision,
 			       source);
 	node_log(node, LOG_LEVEL_INFO, "config_applied", NULL, "revision",
@@ -145,16 +149,19 @@
 	node->config_kv_id = node_kv_send(node, KV_GET, CONFIG_KEY, NULL, 0, 0);
 }
 
-/* Reads the configuration for the first time. */
+/* Requests the first configuration: from the key-value service and seeds. */
 void node_config_start(struct node *node)
 {
 	node->config_read_us = node->now_us;
 	node_read_config(node);
 	for (char **seed = node->seeds; *seed; seed++)
-		node_send_config_ask(node, *seed);
+		node_send_config_request(node, *seed);
 }
 
-/* Whether this node is one of the few of its region that watch the key. */
+/*
+ * Whether this node is one of the CONFIG_MAX_WATCHERS nodes of its region that
+ * watch the key: those with the highest hashes of their names.
+ */
 bool node_config_is_watcher(const struct node *node)
 {
 	uint64_t own = home_hash(node->options.name, "watch", 0);
@@ -169,18 +176,21 @@
 		    home_hash(member->name, "watch", 0) > own)
 			ahead++;
 	}
-	return ahead < CONFIG_WATCHERS;
+	return ahead < CONFIG_MAX_WATCHERS;
 }
 
-/* Keeps the watch going, and reads now and then what it may have missed. */
+/*
+ * Starts the watch if this node is a watcher, and reads the configuration
+ * periodically, as a watch may miss a change.
+ */
 void node_config_step(struct node *node)
 {
 	int64_t interval_us = node->config || node->config_is_absent
-				      ? CONFIG_READ_US
-				      : CONFIG_RETRY_US;
+				      ? CONFIG_READ_INTERVAL_US
+				      : CONFIG_RETRY_INTERVAL_US;
 
 	if (!node->watching &&
-	    node->now_us >= node->started_us + CONFIG_WATCH_AFTER_US &&
+	    node->now_us >= node->started_us + CONFIG_WATCH_DELAY_US &&
 	    node_config_is_watcher(node)) {
 		node->watching = true;
 		action_list_add(node->actions, ACTION_KV_WATCH)->kv_watch =
@@ -194,7 +204,7 @@
 		node_announce_config(node);
 }
 
-/* Takes the answer to reading the key; false when it is another's answer. */
+/* Handles the answer to a read of the key; false if it is another answer. */
 bool node_config_kv(struct node *node, const struct kv_answer *answer)
 {
 	const struct kv_entry *entry;
@@ -207,17 +217,17 @@
 	    answer->entries->len == 0)
 		return true;
 	entry = g_ptr_array_index(answer->entries, 0);
-	node_adopt_config(node, entry->value, entry->mod_revision, "read");
+	node_apply_config(node, entry->value, entry->mod_revision, "read");
 	return true;
 }
 
-/* The watched key changed. */
+/* Handles a change of the watched key. */
 void node_config_watch(struct node *node, const struct event_kv_watch *event)
 {
 	node->kv_heard_us = node->now_us;
 	if (!event->value || strcmp(event->key, CONFIG_KEY) != 0)
 		return;
-	node_adopt_config(node, event->value, event->mod_revision, "watch");
+	node_apply_config(node, event->value, event->mod_revision, "watch");
 }
 
 static void node_send_config(struct node *node, const char *peer_address)
@@ -229,26 +239,26 @@
 	node_send(node, peer_address, message);
 }
 
-/* A peer names its revision, or sends its configuration. */
+/* Handles a peer's announcement of its revision, or its configuration. */
 void node_config_peer(struct node *node, const struct peer_message *message)
 {
 	int64_t own = node_config_revision(node);
 
 	if (message->type == PEER_CONFIG) {
 		if (message->config.document)
-			node_adopt_config(node, message->config.document,
+			node_apply_config(node, message->config.document,
 					  message->config.revision, "peer");
 		return;
 	}
 	if (own > message->config.revision)
 		node_send_config(node, message->from_address);
 	else if (own < message->config.revision)
-		node_ask_config(node, message->from_address);
+		node_request_config(node, message->from_address);
 }
 
 /*
- * Probes carry each member's revision: a node that missed an announcement
- * learns from the next probe that it is behind.
+ * Compares the sender's revision in a probe with this node's. A node that
+ * missed an announcement thus learns of the higher revision by the next probe.
  */
 void node_config_check_members(struct node *node,
 			       const struct peer_message *message)
@@ -259,14 +269,15 @@
 
 		if (strcmp(member->name, message->from) == 0 &&
 		    member->config_revision > node_config_revision(node))
-			node_ask_config(node, message->from_address);
+			node_request_config(node, message->from_address);
 	}
 }
 
 /*
- * Whether this node may hold an old configuration without knowing: for too
- * long it has heard neither the key-value service nor most of its peers. It
- * then takes no new work, since its organisations and endpoints may be gone.
+ * Whether this node's configuration may be out of date unnoticed: for longer
+ * than isolation_us, neither the key-value service nor most of the region's
+ * nodes have answered. The node then accepts no new calls, since organisations
+ * and endpoints in its configuration may have been removed.
  */
 bool node_config_is_isolated(const struct node *node)
 {
--- a/core/node/node_discovery.c
+++ b/core/node/node_discovery.c
@@ -3,50 +3,52 @@
 #include <string.h>
 
 /*
- * The second way to the other nodes, beside the seeds: each node keeps its
- * peer address in the key-value service under a lease, and reads what the
- * others have written there.
+ * Discovery of other nodes without seeds: each node registers its peer address
+ * in the key-value service under a lease, and lists the other nodes' entries.
  *
- * Without it a node whose seeds are all gone stays alone: it takes requests,
- * but counts retries, leaving endpoints and what others hold by itself, and
- * callers that ask it learn of no other node. An address that is out of date
- * costs one unanswered question; whoever answers is a member by its own word.
+ * Without it, a node whose seeds are all gone stays alone. It accepts requests,
+ * but counts only its own retries, leaving endpoints and holdings, and callers
+ * that query it learn of no other node. An address that is out of date costs
+ * one unanswered message. A node becomes a member by its own answer, not by its
+ * entry.
  */
 #define NODES_PREFIX "/siskinlink/nodes/"
 
-/* A node that is gone stays listed so long; renewed three times in it. */
+/* How long a dead node stays listed. The lease is renewed every third of it. */
 #define NODE_LEASE_S 30
 
 /*
- * Nodes that start together write over so long. Each makes two writes, so 480
- * of them take 192 a second, half of what the service allows.
+ * Spreads the registrations of nodes that start together. Each node makes two
+ * writes, so 480 nodes make 192 writes a second, half of what the service
+ * allows.
  */
-#define REGISTER_SPREAD_US (5 * G_USEC_PER_SEC)
+#define REGISTER_JITTER_US (5 * G_USEC_PER_SEC)
 
-/* Seeds that live answer within a few heartbeats; asked for after that. */
-#define FIRST_LIST_US G_USEC_PER_SEC
-#define ALONE_LIST_US (2 * G_USEC_PER_SEC)
-#define LONGEST_ALONE_LIST_US (16 * G_USEC_PER_SEC)
+/* Live seeds answer within a few heartbeats; the first list comes later. */
+#define FIRST_LIST_DELAY_US G_USEC_PER_SEC
+#define ALONE_LIST_INTERVAL_US (2 * G_USEC_PER_SEC)
+#define MAX_ALONE_LIST_US (16 * G_USEC_PER_SEC)
 
 /*
- * Groups that started from different seeds find each other in this time. 480
- * nodes make 16 reads a second of the cheapest kind.
+ * Groups that started from different seeds find each other within this time.
+ * 480 nodes make 16 reads a second, which may be stale and so are the cheapest
+ * kind.
  */
-#define LIST_US (30 * G_USEC_PER_SEC)
+#define LIST_INTERVAL_US (30 * G_USEC_PER_SEC)
 
-static int64_t spread_us(struct node *node, int64_t longest_us)
+static int64_t random_delay_us(struct node *node, int64_t longest_us)
 {
 	return (int64_t)(g_rand_double(node->random) * (double)longest_us);
 }
 
-static bool node_is_staying(const struct node *node)
+static bool node_is_active(const struct node *node)
 {
 	enum member_state state = membership_self(node->membership)->state;
 
 	return state != MEMBER_LEAVING && state != MEMBER_DEAD;
 }
 
-/* Prepares this node's own entry; nothing is sent before its time. */
+/* Creates the holder of this node's entry. Sends nothing yet. */
 void node_discovery_create(struct node *node)
 {
 	char *key =
@@ -67,14 +69,15 @@
 	g_free(key);
 }
 
-/* Sets when to write the own entry and when to read the others' first. */
+/* Schedules the registration and the first list of the other nodes. */
 void node_discovery_start(struct node *node)
 {
 	if (!node->options.discovers_nodes)
 		return;
-	node->register_us = node->now_us + spread_us(node, REGISTER_SPREAD_US);
-	node->next_list_us =
-		node->now_us + FIRST_LIST_US + spread_us(node, FIRST_LIST_US);
+	node->register_us =
+		node->now_us + random_delay_us(node, REGISTER_JITTER_US);
+	node->next_list_us = node->now_us + FIRST_LIST_DELAY_US +
+			     random_delay_us(node, FIRST_LIST_DELAY_US);
 }
 
 static bool node_is_alone(const struct node *node)
@@ -82,19 +85,20 @@
 	return membership_count(node->membership) <= 1;
 }
 
-/* A node that is alone asks soon again, then more and more rarely. */
+/* A node that is alone lists again soon, with exponential backoff. */
 static int64_t next_list_delay_us(struct node *node)
 {
-	int64_t delay_us = LIST_US;
+	int64_t delay_us = LIST_INTERVAL_US;
 
 	if (node_is_alone(node))
-		delay_us = MIN(ALONE_LIST_US << MIN(node->alone_lists, 8),
-			       LONGEST_ALONE_LIST_US);
+		delay_us =
+			MIN(ALONE_LIST_INTERVAL_US << MIN(node->alone_lists, 8),
+			    MAX_ALONE_LIST_US);
 	node->alone_lists = node_is_alone(node) ? node->alone_lists + 1 : 0;
-	return delay_us / 2 + spread_us(node, delay_us / 2);
+	return delay_us / 2 + random_delay_us(node, delay_us / 2);
 }
 
-static void node_list(struct node *node)
+static void node_list_entries(struct node *node)
 {
 	struct kv_request *request;
 
@@ -119,22 +123,22 @@
 		 "address", node->options.peer_address);
 }
 
-/* Keeps the own entry while the node takes work, and reads the others'. */
+/* Keeps the node's entry until it leaves, and lists the other nodes. */
 void node_discovery_step(struct node *node)
 {
-	bool stays = node_is_staying(node);
+	bool active = node_is_active(node);
 
 	if (!node->options.discovers_nodes)
 		return;
 	holder_set_wanted(node->own_entry,
-			  stays && node->now_us >= node->register_us);
+			  active && node->now_us >= node->register_us);
 	holder_step(node->own_entry, node->now_us, node->actions);
 	log_registered(node);
-	if (stays && node->now_us >= node->next_list_us)
-		node_list(node);
+	if (active && node->now_us >= node->next_list_us)
+		node_list_entries(node);
 }
 
-/* When node_discovery_step() has something to do, in us. */
+/* When node_discovery_step() is due next, in us; INT64_MAX if disabled. */
 int64_t node_discovery_next_due_us(const struct node *node)
 {
 	int64_t due_us;
@@ -142,11 +146,14 @@
 	if (!node->options.discovers_nodes)
 		return INT64_MAX;
 	due_us = MAX(holder_next_due_us(node->own_entry), node->register_us);
-	return node_is_staying(node) ? MIN(due_us, node->next_list_us) : due_us;
+	return node_is_active(node) ? MIN(due_us, node->next_list_us) : due_us;
 }
 
-/* An entry reads ADDRESS:LEASE, as the holder of a key writes it. */
-static void take_entry(struct node *node, const struct kv_entry *entry)
+/*
+ * Sends a message to the node in an entry, unless it is this node. The value is
+ * ADDRESS:LEASE, as the holder of a key writes it.
+ */
+static void probe_listed_node(struct node *node, const struct kv_entry *entry)
 {
 	gsize size;
 	const char *bytes = g_bytes_get_data(entry->value, &size);
@@ -161,7 +168,7 @@
 	g_free(address);
 }
 
-/* Takes an answer of the key-value service; false: it is another's. */
+/* Handles an answer of the key-value service; false if it is not for here. */
 bool node_discovery_kv(struct node *node, const struct kv_answer *answer)
 {
 	if (holder_kv(node->own_entry, answer, node->now_us, node->actions))
@@ -170,6 +177,6 @@
 		return false;
 	node->list_kv_id = 0;
 	for (guint i = 0; answer->entries && i < answer->entries->len; i++)
-		take_entry(node, g_ptr_array_index(answer->entries, i));
+		probe_listed_node(node, g_ptr_array_index(answer->entries, i));
 	return true;
 }
--- a/core/node/node_home.c
+++ b/core/node/node_home.c
@@ -3,9 +3,10 @@
 #include <string.h>
 
 /*
- * The home's side: for the shards of which this node is home it grants room
- * to all entry nodes and asks the endpoints for their load. All of it can be
- * rebuilt from what entry nodes report, so losing a home loses no request.
+ * The home's side of placement. For each shard whose home is this node, it
+ * grants capacity to all entry nodes and polls the endpoints for their load.
+ * The whole state can be rebuilt from the entry nodes' progress messages, so
+ * no request is lost with a home.
  */
 
 #define MAX_DECISION_ROUNDS 4
@@ -21,8 +22,12 @@
 	g_free(ticket);
 }
 
-static struct shard *node_home_shard(struct node *node, const char *service,
-				     uint64_t ticket)
+/*
+ * Picks a shard of the service by a hash of the ticket, among those whose home
+ * is this node. NULL if there is none.
+ */
+static struct shard *node_home_pick_shard(struct node *node,
+					  const char *service, uint64_t ticket)
 {
 	GPtrArray *shards = g_hash_table_lookup(node->service_shards, service);
 	struct shard *picked = NULL;
@@ -40,6 +45,7 @@
 	return picked;
 }
 
+/* Sends the endpoint to a remote requester; "" while the ticket is queued. */
 static void node_send_placed(struct node *node,
 			     const struct home_ticket *ticket)
 {
@@ -54,6 +60,7 @@
 	node_send(node, ticket->asker_address, message);
 }
 
+/* The node's table owns the ticket. from is NULL for a call of this node. */
 static struct home_ticket *home_ticket_create(struct node *node,
 					      struct shard *shard,
 					      uint64_t number,
@@ -71,7 +78,10 @@
 	return ticket;
 }
 
-/* Queues a request at a shard of this home; from is NULL for its own. */
+/*
+ * Queues a request at a shard whose home is this node. from is the requester's
+ * message, or NULL for a call of this node.
+ */
 void node_home_submit(struct node *node, struct shard *shard,
 		      const struct placement_request *request,
 		      const struct peer_message *from)
@@ -94,9 +104,10 @@
 }
 
 /*
- * An entry node asks for an endpoint. A repeated ask gets the same answer. A
- * node that does not think itself home stays silent: the asker knows better
- * soon, or goes by its share.
+ * Handles an entry node's request for an endpoint. A repeated request gets the
+ * same answer. A node that is not home of any shard of the service does not
+ * answer: the requester soon learns of the actual home, or places the call by
+ * its own share.
  */
 void node_home_place(struct node *node, const struct peer_message *message)
 {
@@ -120,7 +131,7 @@
 		node_send_placed(node, ticket);
 		return;
 	}
-	shard = node_home_shard(node, place->service, place->ticket);
+	shard = node_home_pick_shard(node, place->service, place->ticket);
 	if (!shard)
 		return;
 	organisation =
@@ -139,7 +150,10 @@
 		node_send_placed(node, ticket);
 }
 
-/* A ticket is given back: queued or granted. Unknown ones are ignored. */
+/*
+ * Releases a granted ticket or withdraws a queued one. tokens is the number of
+ * generated tokens. Unknown tickets are ignored.
+ */
 void node_home_release(struct node *node, uint64_t number,
 		       enum release_outcome outcome, int64_t tokens)
 {
@@ -158,9 +172,10 @@
 	g_hash_table_remove(node->home_tickets, &number);
 }
 
-static void node_home_take_holding(struct node *node,
-				   const struct peer_holding *holding,
-				   const struct peer_message *message)
+/* Restores a grant that an entry node holds and this home does not know. */
+static void node_home_restore_holding(struct node *node,
+				      const struct peer_holding *holding,
+				      const struct peer_message *message)
 {
 	const struct config_organisation *organisation =
 		config_find_organisation(node->config, holding->organisation);
@@ -185,24 +200,28 @@
 	shard->dirty = true;
 }
 
-static void node_home_note_holding(struct node *node,
-				   const struct peer_holding *holding,
-				   const struct peer_message *message)
+static void node_home_update_holding(struct node *node,
+				     const struct peer_holding *holding,
+				     const struct peer_message *message)
 {
 	struct home_ticket *ticket =
 		g_hash_table_lookup(node->home_tickets, &holding->ticket);
 
 	if (!ticket) {
 		if (*holding->endpoint)
-			node_home_take_holding(node, holding, message);
+			node_home_restore_holding(node, holding, message);
 		return;
 	}
 	if (!ticket->endpoint)
-		return; /* waits here still */
+		return; /* still queued here */
 	placement_progress(ticket->shard->placement, holding->ticket,
 			   holding->tokens, node->now_us);
 }
 
+/*
+ * Whether the sender of the message owns the ticket, but no longer lists it or
+ * has restarted since it got it.
+ */
 static bool ticket_is_missing(const struct home_ticket *ticket,
 			      const struct peer_message *message,
 			      GHashTable *held)
@@ -213,8 +232,8 @@
 }
 
 /*
- * Frees tickets that their asker no longer names: the word that gave them back
- * was lost, and their room would stay taken for ever.
+ * Releases tickets that their requester no longer lists: the message that
+ * released them was lost, and their capacity would stay occupied forever.
  */
 static void node_home_free_missing(struct node *node,
 				   const struct peer_message *message)
@@ -244,7 +263,11 @@
 	g_hash_table_destroy(held);
 }
 
-/* An entry node reports what it holds of this home. */
+/*
+ * Handles an entry node's list of the tickets that it holds from this home. A
+ * shard that waits for holdings starts to grant once the last node's list has
+ * arrived.
+ */
 void node_home_progress(struct node *node, const struct peer_message *message)
 {
 	if (!node->config)
@@ -252,7 +275,7 @@
 	if (message->progress.complete)
 		node_home_free_missing(node, message);
 	for (guint i = 0; i < message->progress.holdings->len; i++)
-		node_home_note_holding(
+		node_home_update_holding(
 			node, g_ptr_array_index(message->progress.holdings, i),
 			message);
 	for (guint i = 0; i < node->shards->len; i++) {
@@ -337,7 +360,10 @@
 	       placement_next_due_us(shard->placement) <= node->now_us;
 }
 
-/* Lets the shards decide whose state has changed or whose time has come. */
+/*
+ * Makes the placement decisions of the shards that have changed or are due.
+ * Repeats while any shard is due, in at most MAX_DECISION_ROUNDS rounds.
+ */
 void node_home_step(struct node *node)
 {
 	bool decided = true;
@@ -357,7 +383,7 @@
 	}
 }
 
-/* When a shard wants to decide next, in us; INT64_MAX when none does. */
+/* Time of the next placement decision, in us; INT64_MAX if none is due. */
 int64_t node_home_next_due_us(const struct node *node)
 {
 	int64_t due_us = INT64_MAX;
@@ -376,7 +402,7 @@
 	return due_us;
 }
 
-/* Asks the endpoints of this home's shards for their load. */
+/* Polls the load of all endpoints in the shards whose home is this node. */
 void node_home_poll(struct node *node)
 {
 	for (guint i = 0; i < node->shards->len; i++) {
@@ -390,7 +416,7 @@
 	}
 }
 
-/* A load report, or word that none could be had. */
+/* Handles an endpoint's load report, or the failure to get one. */
 void node_home_load(struct node *node, const struct event_load *event)
 {
 	for (guint i = 0; i < node->shards->len; i++) {
--- a/core/node/node_leaving.c
+++ b/core/node/node_leaving.c
@@ -3,12 +3,14 @@
 #include <string.h>
 
 /*
- * Endpoints that leave get no new work. Several sources can say so; each mark
- * is kept by itself, and the word is spread to the other nodes.
+ * Endpoints that leave get no new work. Several sources can mark an endpoint
+ * as leaving. Each source's mark is kept separately, and the marks are
+ * announced to the other nodes.
  */
 
-#define ANNOUNCE_US (10 * G_USEC_PER_SEC)
+#define ANNOUNCE_INTERVAL_US (10 * G_USEC_PER_SEC)
 
+/* Passes the mark on to the placements: shards of this home, and shares. */
 static void node_apply_leaving(struct node *node, const char *endpoint)
 {
 	bool leaving = g_hash_table_contains(node->leaving, endpoint);
@@ -28,10 +30,14 @@
 		placement_set_leaving(share, endpoint, leaving);
 }
 
-/* Repeats to the other nodes which endpoints leave. */
+/*
+ * Announces to the other nodes which endpoints leave, by the sources of this
+ * node. Repeated every ANNOUNCE_INTERVAL_US, since a peer's mark expires.
+ */
 void node_leaving_announce(struct node *node)
 {
-	const uint32_t own = LEAVING_VM_LIST | LEAVING_LOAD | LEAVING_ROLLOUT;
+	const uint32_t local_sources =
+		LEAVING_VM_LIST | LEAVING_LOAD | LEAVING_ROLLOUT;
 
 	for (size_t i = 0; i < membership_count(node->membership); i++) {
 		const struct member *member =
@@ -47,7 +53,7 @@
 		while (g_hash_table_iter_next(&iter, &key, &value)) {
 			const struct leaving_mark *mark = value;
 
-			if (mark->sources & own)
+			if (mark->sources & local_sources)
 				g_ptr_array_add(message->leaving.endpoints,
 						g_strdup(key));
 		}
@@ -56,13 +62,13 @@
 		else
 			peer_message_destroy(message);
 	}
-	node->next_announce_us = node->now_us + ANNOUNCE_US;
+	node->next_announce_us = node->now_us + ANNOUNCE_INTERVAL_US;
 }
 
 /*
- * Marks an endpoint as leaving, or takes one source's mark back. Any source is
- * enough: the VM list lags, the load report may not come through, and either
- * may be the only one that still reaches some node.
+ * Sets or clears one source's mark on an endpoint. It leaves as long as any
+ * source marks it: the VM list lags, a load report may be lost, and either may
+ * be the only source that still reaches some node.
  */
 void node_leaving_set(struct node *node, const char *endpoint,
 		      enum leaving_source source, bool leaving)
@@ -95,7 +101,7 @@
 		node_leaving_announce(node);
 }
 
-/* The VM list: only what it says of endpoints it names. */
+/* Applies the VM list. Endpoints that are not in it keep their mark. */
 void node_leaving_vm_list(struct node *node, const struct event_vm_list *event)
 {
 	for (size_t i = 0; i < event->vm_count; i++)
@@ -103,7 +109,7 @@
 				 event->vms[i].leaving);
 }
 
-/* A peer's word; it counts for half a minute unless repeated. */
+/* Applies a peer's announcement, which expires after 30 s unless repeated. */
 void node_leaving_peer(struct node *node, const struct peer_leaving *leaving)
 {
 	for (guint i = 0; i < leaving->endpoints->len; i++)
@@ -111,7 +117,7 @@
 				 LEAVING_PEER, true);
 }
 
-/* Takes back the words of peers on leaving endpoints that ran out. */
+/* Clears the peers' marks that have expired. */
 void node_leaving_expire(struct node *node)
 {
 	GPtrArray *expired = g_ptr_array_new_with_free_func(g_free);
--- a/core/node/node_limits.c
+++ b/core/node/node_limits.c
@@ -3,12 +3,13 @@
 #include <string.h>
 
 /*
- * Organisations' limits between nodes: what this node wants of each goes to
- * the organisation's home, and the share that comes back is what it admits by.
+ * Limits of organisations across nodes. Each node reports its demand to the
+ * organisation's home and admits calls within the share that the home returns.
  */
 
-#define LIMITS_REPORT_US G_USEC_PER_SEC
-#define LIMITS_LONGEST_US (5 * G_USEC_PER_SEC)
+/* The interval of reports grows with the number of active organisations. */
+#define LIMITS_MIN_INTERVAL_US G_USEC_PER_SEC
+#define LIMITS_MAX_INTERVAL_US (5 * G_USEC_PER_SEC)
 #define LIMITS_PER_ORGANISATION_US 25000
 
 static const struct member *organisation_home(const struct node *node,
@@ -18,7 +19,10 @@
 			 0);
 }
 
-/* Counts the call against its organisation's limits, or refuses it. */
+/*
+ * Counts the call's prompt against the limits of its organisation. Refuses the
+ * call and returns false if a limit is exceeded.
+ */
 bool node_limits_admit(struct node *node, struct call *call)
 {
 	const struct config_organisation *organisation =
@@ -38,7 +42,7 @@
 	return false;
 }
 
-/* Counts tokens that came. */
+/* Counts generated tokens. */
 void node_limits_add_tokens(struct node *node, struct call *call,
 			    int64_t tokens)
 {
@@ -49,7 +53,7 @@
 				       tokens);
 }
 
-/* The call has ended: its tokens no longer count. */
+/* Removes an ended call's tokens from the count. */
 void node_limits_release(struct node *node, struct call *call)
 {
 	if (!call->counted_tokens)
@@ -64,7 +68,7 @@
 	return (uint32_t)home_hash("organisation", name, 0);
 }
 
-/* NULL for an organisation that is not, or not yet, in the configuration. */
+/* NULL if the organisation is not, or not yet, in the configuration. */
 static const struct config_organisation *
 node_find_organisation(const struct node *node, uint32_t hash)
 {
@@ -78,9 +82,10 @@
 	return NULL;
 }
 
-static void node_divide_own(struct node *node,
-			    const struct config_organisation *organisation,
-			    const struct peer_limit *report)
+/* Divides a limit where this node itself is the organisation's home. */
+static void node_divide_locally(struct node *node,
+				const struct config_organisation *organisation,
+				const struct peer_limit *report)
 {
 	struct peer_limit share = {0};
 
@@ -91,8 +96,10 @@
 				       node->now_us);
 }
 
-static struct peer_message *report_for(struct node *node, GHashTable *reports,
-				       const struct member *home)
+/* The report to a home, created on first use. The table does not own it. */
+static struct peer_message *report_message_for(struct node *node,
+					       GHashTable *reports,
+					       const struct member *home)
 {
 	struct peer_message *message =
 		g_hash_table_lookup(reports, home->peer_address);
@@ -104,10 +111,11 @@
 	return message;
 }
 
-static bool organisation_is_limited(const struct config_organisation *found)
+static bool
+organisation_is_limited(const struct config_organisation *organisation)
 {
-	return found &&
-	       (found->requests_per_s > 0 || found->concurrent_tokens > 0);
+	return organisation && (organisation->requests_per_s > 0 ||
+				organisation->concurrent_tokens > 0);
 }
 
 static void node_report_organisation(struct node *node, GHashTable *reports,
@@ -122,14 +130,18 @@
 		return;
 	organisation_limits_report(node->limits, name, node->now_us, &report);
 	if (strcmp(home->name, node->options.name) == 0) {
-		node_divide_own(node, organisation, &report);
+		node_divide_locally(node, organisation, &report);
 		return;
 	}
 	report.organisation_hash = organisation_hash(name);
-	*peer_limits_add(&report_for(node, reports, home)->limits) = report;
+	*peer_limits_add(&report_message_for(node, reports, home)->limits) =
+		report;
 }
 
-/* Reports to the homes of the organisations that are active here. */
+/*
+ * Reports the demand of the organisations that are active on this node to
+ * their homes, and schedules the next report.
+ */
 void node_limits_report(struct node *node)
 {
 	GPtrArray *names = organisation_limits_active(node->limits);
@@ -150,12 +162,12 @@
 	node->next_limits_us =
 		node->now_us +
 		CLAMP((int64_t)names->len * LIMITS_PER_ORGANISATION_US,
-		      LIMITS_REPORT_US, LIMITS_LONGEST_US);
+		      LIMITS_MIN_INTERVAL_US, LIMITS_MAX_INTERVAL_US);
 	g_ptr_array_unref(names);
 }
 
-static void node_answer_report(struct node *node,
-			       const struct peer_message *message)
+static void node_answer_limit_report(struct node *node,
+				     const struct peer_message *message)
 {
 	struct peer_message *answer =
 		node_message_create(node, PEER_LIMIT_SHARE);
@@ -178,13 +190,13 @@
 	node_send(node, message->from_address, answer);
 }
 
-/* A node's report, or the share this node was given. */
+/* Handles another node's report, or a share that a home assigned. */
 void node_limits_receive(struct node *node, const struct peer_message *message)
 {
 	if (!node->config)
 		return;
 	if (message->type == PEER_LIMIT_REPORT) {
-		node_answer_report(node, message);
+		node_answer_limit_report(node, message);
 		return;
 	}
 	for (guint i = 0; i < message->limits.limits->len; i++) {
--- a/core/node/node_rollout.c
+++ b/core/node/node_rollout.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 /*
- * Rollouts of the configuration in force. A few nodes of each region are
- * candidates; the one that holds the key carries all rollouts forward.
+ * The rollouts in the configuration. A few nodes of each region are candidates;
+ * the one that holds the key advances all rollouts.
  */
 
 #define HOLDER_KEY "/siskinlink/rollout"
@@ -14,13 +14,14 @@
 enum {
 	HOLDER_TTL_S = 15,
 	HOLDER_MARGIN_US = 2 * G_USEC_PER_SEC,
-	WORD_MARGIN_US = 5 * G_USEC_PER_SEC /* on its way, and taken back */
+	/* Time for a peer's mark to arrive and to be cleared after expiry. */
+	LEAVING_MARGIN_US = 5 * G_USEC_PER_SEC
 };
 
 struct node_rollout {
 	struct rollout *rollout;
-	char *signature;	  /* what it was made of */
-	enum rollout_phase phase; /* logged last */
+	char *signature;	  /* see format_signature() */
+	enum rollout_phase phase; /* as last logged */
 };
 
 static void node_rollout_free(gpointer data)
@@ -32,7 +33,7 @@
 	g_free(item);
 }
 
-/* Prepares a holder that does not want the key yet. */
+/* Creates the holder of the rollout key, which does not claim it yet. */
 void node_rollout_create(struct node *node)
 {
 	char *name =
@@ -61,7 +62,7 @@
 	holder_destroy(node->rollout_holder);
 }
 
-static void add_read(struct node *node, const char *endpoint)
+static void add_order_read(struct node *node, const char *endpoint)
 {
 	struct action *action =
 		action_list_add(node->actions, ACTION_READ_ORDER);
@@ -83,8 +84,8 @@
 		 effect->address);
 }
 
-static void carry_out(struct node *node, const struct rollout *rollout,
-		      const GArray *effects)
+static void apply_effects(struct node *node, const struct rollout *rollout,
+			  const GArray *effects)
 {
 	for (guint i = 0; i < effects->len; i++) {
 		const struct rollout_effect *effect =
@@ -100,7 +101,7 @@
 					 false);
 			break;
 		case ROLLOUT_READ:
-			add_read(node, effect->address);
+			add_order_read(node, effect->address);
 			break;
 		case ROLLOUT_ORDER:
 			add_order(node, rollout, effect);
@@ -124,18 +125,18 @@
 			rollout_reason(item->rollout), NULL);
 }
 
-static void step_one(struct node *node, struct node_rollout *item)
+static void node_rollout_advance(struct node *node, struct node_rollout *item)
 {
 	GArray *effects =
 		g_array_new(FALSE, FALSE, sizeof(struct rollout_effect));
 
 	rollout_step(item->rollout, node->now_us, node->actions, effects);
-	carry_out(node, item->rollout, effects);
+	apply_effects(node, item->rollout, effects);
 	log_phase(node, item);
 	g_array_unref(effects);
 }
 
-/* What a rollout is made of; another text means another rollout. */
+/* Text of all inputs of a rollout; if it changes, a new rollout is created. */
 static char *format_signature(const struct config_rollout *rollout,
 			      const struct config_service *service)
 {
@@ -184,7 +185,7 @@
 	options.max_parallel = rollout->max_parallel;
 	options.min_ready_percent = rollout->min_ready_percent;
 	options.max_failures = rollout->max_failures;
-	options.return_us = PEER_LEAVING_US + WORD_MARGIN_US;
+	options.return_us = PEER_LEAVING_US + LEAVING_MARGIN_US;
 	options.next_kv_id = &node->next_kv_id;
 	options.counters = &node->counters;
 	options.kv_timeout_us = node->options.kv_timeout_us;
@@ -193,6 +194,7 @@
 	return created;
 }
 
+/* Removes the rollout with this signature from the list; NULL if none. */
 static struct node_rollout *take_matching(GPtrArray *items,
 					  const char *signature)
 {
@@ -205,19 +207,19 @@
 	return NULL;
 }
 
-static void end_one(struct node *node, struct node_rollout *item)
+static void node_rollout_end(struct node *node, struct node_rollout *item)
 {
 	GArray *effects =
 		g_array_new(FALSE, FALSE, sizeof(struct rollout_effect));
 
 	rollout_let_go(item->rollout, node->now_us, effects);
-	carry_out(node, item->rollout, effects);
+	apply_effects(node, item->rollout, effects);
 	g_array_unref(effects);
 }
 
 /*
- * The configuration has changed. Rollouts that it leaves as they are go on
- * undisturbed: thousands of changes a day are of something else.
+ * Creates and ends rollouts after a change of the configuration. Unchanged
+ * rollouts keep their state: thousands of changes a day concern other things.
  */
 void node_rollout_config_changed(struct node *node)
 {
@@ -241,11 +243,11 @@
 		g_free(signature);
 	}
 	for (guint i = 0; i < before->len; i++)
-		end_one(node, g_ptr_array_index(before, i));
+		node_rollout_end(node, g_ptr_array_index(before, i));
 	g_ptr_array_unref(before);
 }
 
-/* Claims or renews the key, and carries the rollouts forward under it. */
+/* Claims or renews the key, and advances the rollouts while it is held. */
 void node_rollout_step(struct node *node)
 {
 	bool wanted = node->rollouts->len > 0 && !node->draining &&
@@ -254,10 +256,11 @@
 	holder_set_wanted(node->rollout_holder, wanted);
 	holder_step(node->rollout_holder, node->now_us, node->actions);
 	for (guint i = 0; i < node->rollouts->len; i++)
-		step_one(node, g_ptr_array_index(node->rollouts, i));
+		node_rollout_advance(node,
+				     g_ptr_array_index(node->rollouts, i));
 }
 
-/* When node_rollout_step() has something to do, in us. */
+/* When node_rollout_step() is due next, in us. */
 int64_t node_rollout_next_due_us(const struct node *node)
 {
 	int64_t due_us = holder_next_due_us(node->rollout_holder);
@@ -272,7 +275,7 @@
 	return due_us;
 }
 
-/* Takes an answer of the key-value service; false: it is another's. */
+/* Handles an answer of the key-value service; false if it is not for here. */
 bool node_rollout_kv(struct node *node, const struct kv_answer *answer)
 {
 	if (holder_kv(node->rollout_holder, answer, node->now_us,
@@ -288,7 +291,7 @@
 	return false;
 }
 
-/* What became of an order. */
+/* Handles the outcome of an order. */
 void node_rollout_order(struct node *node, const struct event_order *event)
 {
 	for (guint i = 0; i < node->rollouts->len; i++) {
@@ -299,7 +302,7 @@
 	}
 }
 
-/* What an engine says of its target. */
+/* Handles an engine's answer about its target. */
 void node_rollout_order_state(struct node *node,
 			      const struct event_order_state *event)
 {
@@ -311,7 +314,10 @@
 	}
 }
 
-/* The rollouts as this node knows them; only the holder knows how far. */
+/*
+ * The rollouts for the state dump, as a floating GVariant. Only the holder of
+ * the key knows the phase; other nodes give "unknown".
+ */
 GVariant *node_rollout_dump(const struct node *node)
 {
 	GVariantBuilder list;
--- a/core/node/node_shard.c
+++ b/core/node/node_shard.c
@@ -3,11 +3,12 @@
 #include <string.h>
 
 /*
- * The shards of this node's region: which endpoints are in each, which node
- * is its home, and what happens when that changes.
+ * The shards of this node's region: the endpoints in each, the node that is
+ * its home, and the changes of both.
  */
 
-#define REBUILD_PATIENCE_US 1000000
+/* How long a new home waits for the other nodes' holdings. */
+#define HOLDINGS_TIMEOUT_US 1000000
 
 /* Frees a shard. */
 void shard_destroy(gpointer data)
@@ -22,13 +23,13 @@
 	g_free(shard);
 }
 
-/* Frees a list of shards, not the shards. */
+/* Frees a list of shards, but not the shards in it. */
 void shard_list_destroy(gpointer data)
 {
 	g_ptr_array_unref(data);
 }
 
-/* The shard of this service and number, or NULL. */
+/* The shard of this service with this index, or NULL. */
 struct shard *node_shard_find(struct node *node, const char *service,
 			      uint32_t index)
 {
@@ -39,7 +40,7 @@
 	return g_ptr_array_index(shards, index);
 }
 
-/* The shard that this endpoint of the service is in, or NULL. */
+/* The shard of the service that contains this endpoint, or NULL. */
 struct shard *node_shard_of_endpoint(struct node *node, const char *service,
 				     const char *endpoint)
 {
@@ -55,7 +56,10 @@
 	return shard;
 }
 
-/* A shard of the service to ask for an endpoint; NULL when it has none. */
+/*
+ * Picks at random a shard of the service from which to request an endpoint,
+ * among those that have endpoints. NULL if there is none.
+ */
 struct shard *node_shard_pick(struct node *node, const char *service)
 {
 	GPtrArray *shards = g_hash_table_lookup(node->service_shards, service);
@@ -89,14 +93,15 @@
 }
 
 /*
- * A new home does not know yet what its endpoints hold. It grants nothing
- * until every other live node has reported, or a second has passed: granting
- * at once would fill the endpoints a second time and preempt what runs there.
+ * A new home does not know yet which requests run on its endpoints. It grants
+ * nothing until every other live node has sent its holdings, or a second has
+ * passed: immediate grants would fill the endpoints a second time and preempt
+ * the requests that run there.
  */
 static void shard_await_holdings(struct node *node, struct shard *shard)
 {
 	g_hash_table_remove_all(shard->awaited);
-	shard->grant_from_us = node->now_us + REBUILD_PATIENCE_US;
+	shard->grant_from_us = node->now_us + HOLDINGS_TIMEOUT_US;
 	for (size_t i = 0; i < membership_count(node->membership); i++) {
 		const struct member *member =
 			membership_get(node->membership, i);
@@ -210,7 +215,7 @@
 				 GHashTable *by_service,
 				 const struct config_service *service)
 {
-	GPtrArray *own = g_ptr_array_new();
+	GPtrArray *service_shards = g_ptr_array_new();
 	uint32_t count = home_shard_count(service->endpoints->len,
 					  node->options.engines_per_shard);
 
@@ -224,12 +229,17 @@
 		shard_set_home(node, shard);
 		shard_set_endpoints(node, shard, service, count);
 		g_ptr_array_add(shards, shard);
-		g_ptr_array_add(own, shard);
+		g_ptr_array_add(service_shards, shard);
 	}
-	g_hash_table_insert(by_service, g_strdup(service->name), own);
+	g_hash_table_insert(by_service, g_strdup(service->name),
+			    service_shards);
 }
 
-/* Makes the shards anew from the configuration and the members. */
+/*
+ * Rebuilds the shards from the configuration and the members. A shard that
+ * remains keeps its placement state unless its home moves; the tickets of a
+ * removed one are dropped.
+ */
 void node_shard_rebuild(struct node *node)
 {
 	GPtrArray *shards = g_ptr_array_new();
@@ -254,12 +264,15 @@
 	node->service_shards = by_service;
 }
 
-static bool member_is_awaited_no_more(const struct node *node, const char *name)
+static bool member_is_gone(const struct node *node, const char *name)
 {
 	return !membership_find(node->membership, name);
 }
 
-/* Members came or went: homes move, and what they knew is told anew. */
+/*
+ * Handles a change of members: homes move, new homes are sent the holdings
+ * again, and nodes that have gone are no longer awaited.
+ */
 void node_shard_members_changed(struct node *node)
 {
 	node_shard_rebuild(node);
@@ -271,7 +284,7 @@
 
 		g_hash_table_iter_init(&iter, shard->awaited);
 		while (g_hash_table_iter_next(&iter, &name, NULL)) {
-			if (member_is_awaited_no_more(node, name))
+			if (member_is_gone(node, name))
 				g_hash_table_iter_remove(&iter);
 		}
 	}
--- a/tests/discovery_test.cc
+++ b/tests/discovery_test.cc
@@ -8,10 +8,10 @@
 constexpr int64_t kSecond = 1000000;
 
 /*
- * Callers that ask a node where to connect learn only of the nodes it knows.
- * All seeds in the settings are out of date: nobody answers there. Each node
- * writes its address into the key-value service and asks those it finds there,
- * so that all know each other all the same.
+ * Nodes whose seeds are all out of date, so that no seed answers. Each node
+ * registers its address in the key-value service and contacts the others that
+ * are listed there. A node that does not know the others cannot name them to
+ * callers that ask where to connect.
  */
 class Discovery : public testing::Test
 {
@@ -94,7 +94,7 @@
 	ExpectAllKnown(5);
 }
 
-/* A process that starts again has another entry; its old one lapses. */
+/* A restarted process registers a new entry; its old one expires. */
 TEST_F(Discovery, FindsANodeThatStartedAgain)
 {
 	Create(true);
@@ -107,7 +107,7 @@
 	ExpectAllKnown(5);
 }
 
-/* In the long run a node costs the service a renewal each ten seconds. */
+/* In the steady state a node makes one renewal every 10 seconds. */
 TEST_F(Discovery, CostsFewCalls)
 {
 	int64_t before;
--- a/tests/node_config_test.cc
+++ b/tests/node_config_test.cc
@@ -38,13 +38,13 @@
 		action_list_destroy(actions);
 	}
 
-	/* Asks for a configuration that follow when a node names its own. */
-	int AsksAfter(const char *name, int64_t revision)
+	/* Requests sent after a node has announced its revision. */
+	int RequestsAfter(const char *name, int64_t revision)
 	{
 		struct peer_message *message =
 			peer_message_create(PEER_CONFIG_ASK);
 		struct event event = {};
-		int asks = 0;
+		int requests = 0;
 
 		event.type = EVENT_PEER;
 		event.peer = message;
@@ -57,24 +57,24 @@
 			const struct action *action =
 				action_list_get(actions, i);
 
-			asks += action->type == ACTION_PEER_SEND &&
-				action->peer_send.message->type ==
-					PEER_CONFIG_ASK;
+			requests += action->type == ACTION_PEER_SEND &&
+				    action->peer_send.message->type ==
+					    PEER_CONFIG_ASK;
 		}
 		action_list_clear(actions);
 		peer_message_destroy(message);
-		return asks;
+		return requests;
 	}
 };
 
 } // namespace
 
-/* Guards against copies of a large configuration that fill a node's link. */
-TEST_F(NodeConfig, AsksForOneCopyAtATime)
+/* Several copies of a large configuration at a time would fill the link. */
+TEST_F(NodeConfig, RequestsOneCopyAtATime)
 {
-	EXPECT_EQ(1, AsksAfter("p1", 5));
-	EXPECT_EQ(0, AsksAfter("p2", 5));
-	EXPECT_EQ(0, AsksAfter("p3", 6));
+	EXPECT_EQ(1, RequestsAfter("p1", 5));
+	EXPECT_EQ(0, RequestsAfter("p2", 5));
+	EXPECT_EQ(0, RequestsAfter("p3", 6));
 	now_us += G_USEC_PER_SEC;
-	EXPECT_EQ(1, AsksAfter("p2", 5));
+	EXPECT_EQ(1, RequestsAfter("p2", 5));
 }
