--- a/core/node/call.c
+++ b/core/node/call.c
@@ -7,7 +7,10 @@
 	[CALL_REATTACH] = "reattach", [CALL_FORWARDED] = "forwarded",
 };
 
-/* A call in state CALL_PLACING; takes a reference to the request. */
+/*
+ * Creates a call in state CALL_PLACING with a reference to the request. The
+ * deadline counts from now_us.
+ */
 struct call *call_create(uint64_t id, struct request *request, int64_t now_us)
 {
 	struct call *call = g_new0(struct call, 1);
@@ -17,8 +20,8 @@
 	call->request = request_ref(request);
 	call->organisation = g_strdup("");
 	call->arrived_us = now_us;
-	call->state_us = now_us;
-	call->wake_us = INT64_MAX;
+	call->state_since_us = now_us;
+	call->timer_us = INT64_MAX;
 	if (request->deadline_in_us > 0)
 		call->deadline_us = now_us + request->deadline_in_us;
 	return call;
@@ -37,13 +40,13 @@
 	g_free(call);
 }
 
-/* Name of a state, as in the dump. */
+/* Returns the name of a state as written in the dump and in logs. */
 const char *call_state_name(enum call_state state)
 {
 	return state_names[state];
 }
 
-/* Notes the endpoint of the current attempt. */
+/* Sets the endpoint of the current attempt; the string is copied. */
 void call_set_endpoint(struct call *call, const char *endpoint)
 {
 	char *copy = g_strdup(endpoint);
@@ -52,7 +55,10 @@
 	call->endpoint = copy;
 }
 
-/* Notes the generation of the current attempt; NULL before it has one. */
+/*
+ * Sets the generation of the current attempt; the string is copied. NULL: the
+ * endpoint has not named one yet.
+ */
 void call_set_generation(struct call *call, const char *generation)
 {
 	char *copy = g_strdup(generation);
--- a/core/node/call.h
+++ b/core/node/call.h
@@ -11,17 +11,17 @@
 
 G_BEGIN_DECLS
 
-/* One caller's request at its entry node, from arrival to its last word. */
+/* A request at its entry node, from its arrival to the final reply. */
 
 enum call_state {
 	CALL_CLAIMING,	/* its id is being claimed in the key-value service */
-	CALL_JOINED,	/* waits for the outcome of the same id */
+	CALL_JOINED,	/* waits for the outcome of an earlier call of its id */
 	CALL_PLACING,	/* waits for an endpoint */
-	CALL_BACKOFF,	/* waits to be placed again after a failed attempt */
-	CALL_SENT,	/* at an endpoint, nothing delivered yet */
-	CALL_STREAMING, /* tokens delivered: never started again */
-	CALL_REATTACH,	/* as streaming; waits to attach to the generation */
-	CALL_FORWARDED	/* at the node that issued its id */
+	CALL_BACKOFF,	/* waits before it is placed again */
+	CALL_SENT,	/* at an endpoint; nothing delivered yet */
+	CALL_STREAMING, /* tokens delivered: must not be started again */
+	CALL_REATTACH,	/* stream lost; waits to attach to its generation */
+	CALL_FORWARDED	/* sent to the node that issued or claimed its id */
 };
 
 struct call {
@@ -32,35 +32,35 @@
 	char *organisation;
 	int32_t priority;
 	int32_t weight;
-	int64_t counted_tokens; /* against the organisation's limit */
+	int64_t counted_tokens; /* counted against its organisation's limit */
 	uint64_t fingerprint;
 	struct outcome *outcome; /* owned by the store; NULL without an id */
-	bool awaits_lease;	 /* its claim waits for a lease to hang on */
-	bool caller_gone; /* non-idempotent: goes on to learn the outcome */
-	bool begun;	  /* the caller's stream has started */
-	bool paused;	  /* the caller reads too slowly */
-	bool maybe_run;	  /* an earlier attempt may have run it */
+	bool awaits_lease;	 /* its claim waits for the claim lease */
+	bool caller_gone;	 /* disconnected; the call may run to its end */
+	bool begun;	/* the reply stream to the caller has started */
+	bool paused;	/* the caller reads too slowly; reading is stopped */
+	bool maybe_run; /* an earlier attempt may have run it */
 
 	int64_t arrived_us;
-	int64_t deadline_us;   /* absolute; 0: none */
-	int64_t state_us;      /* since when it is in this state */
-	int64_t wake_us;       /* next look at its timers; INT64_MAX: none */
-	int64_t retry_us;      /* backoff and reattach: when to go on */
-	int64_t last_heard_us; /* from its endpoint */
+	int64_t deadline_us;	/* absolute; 0: none */
+	int64_t state_since_us; /* when it entered this state */
+	int64_t timer_us;	/* next timer; INT64_MAX: none */
+	int64_t retry_us; /* end of the wait in placing, backoff, reattach */
+	int64_t last_heard_us; /* last data from the endpoint, or flow change */
 
-	uint64_t ticket;   /* names it to the home; 0: none */
-	char *home;	   /* name of the home asked; "" for the local share */
-	bool home_heard;   /* the home has said that it queued the ticket */
-	int64_t placed_us; /* when the grant came */
-	uint32_t shard;	   /* of the home asked */
+	uint64_t ticket; /* identifies the call to the home; 0: none */
+	char *home;	 /* home that was asked; "": this node's own share */
+	bool home_heard; /* the home has confirmed that the ticket is queued */
+	int64_t placed_us; /* when the grant arrived */
+	uint32_t shard;	   /* index of the shard that was asked */
 
-	uint64_t attempt; /* 0: none */
+	uint64_t attempt; /* current attempt; 0: none */
 	int32_t attempts;
 	int32_t reattaches; /* since the last token */
 	char *endpoint;
 	char *generation;
 	int64_t next_token;
-	uint64_t avoid_hash; /* of the endpoint that failed it last */
+	uint64_t avoid_hash; /* of the endpoint to avoid when placed again */
 };
 
 struct call *call_create(uint64_t id, struct request *request, int64_t now_us);
--- a/core/node/node.c
+++ b/core/node/node.c
@@ -5,15 +5,15 @@
 
 #define MS_US 1000
 #define MAX_TIMERS_PER_STEP 100000
-#define PROGRESS_PER_HELD_US 2500
-#define PROGRESS_LONGEST_US (2 * G_USEC_PER_SEC)
-#define PAUSE_US G_USEC_PER_SEC
-#define SETTLE_US (500 * MS_US)
-#define STEP_SLACK_US (50 * MS_US)
+#define PROGRESS_PER_TICKET_US 2500
+#define MAX_PROGRESS_INTERVAL_US (2 * G_USEC_PER_SEC)
+#define PAUSE_THRESHOLD_US G_USEC_PER_SEC
+#define PAUSE_HOLD_US (500 * MS_US)
+#define STEP_TOLERANCE_US (50 * MS_US)
 
 /*
- * Records that go out for each request, or name all that is held, leave out
- * the sender's name and address: the receiver knows them by the incarnation.
+ * Records that are sent for each request, or that list all held tickets, omit
+ * the sender's name and address: the receiver looks them up by incarnation.
  */
 static bool peer_message_is_frequent(enum peer_message_type type)
 {
@@ -31,7 +31,10 @@
 	}
 }
 
-/* A message from this node. */
+/*
+ * Creates a message with this node as its sender. The caller owns it until it
+ * is passed to node_send.
+ */
 struct peer_message *node_message_create(const struct node *node,
 					 enum peer_message_type type)
 {
@@ -45,7 +48,7 @@
 	return message;
 }
 
-/* Sends a message and takes it over. */
+/* Sends a message to a peer and takes ownership of it. */
 void node_send(struct node *node, const char *peer_address,
 	       struct peer_message *message)
 {
@@ -57,7 +60,10 @@
 	counters_add(&node->counters, COUNTER_PEER_SENT, 1);
 }
 
-/* A request to the key-value service, to be filled in; its id is set. */
+/*
+ * Adds a request to the key-value service with its id and timeout set. The
+ * caller fills in the rest; the action list owns the request.
+ */
 struct kv_request *node_kv_request(struct node *node, enum kv_op op)
 {
 	struct action *action = action_list_add(node->actions, ACTION_KV);
@@ -70,8 +76,9 @@
 }
 
 /*
- * Asks the key-value service and returns the number its answer will carry.
- * For a lease grant, expected_revision is its time to live in seconds.
+ * Sends a request to the key-value service and returns its id, which the
+ * answer carries. key and value are copied or referenced. For a lease grant,
+ * expected_revision is the time to live in seconds.
  */
 uint64_t node_kv_send(struct node *node, enum kv_op op, const char *key,
 		      GBytes *value, int64_t expected_revision, int64_t lease)
@@ -88,7 +95,10 @@
 	return request->id;
 }
 
-/* Logs an event with one field besides those of the call. */
+/*
+ * Logs an event with one field and, unless call is NULL, the id and
+ * organisation of the call.
+ */
 void node_log(struct node *node, enum log_level level, const char *event,
 	      const struct call *call, const char *key, const char *value)
 {
@@ -103,19 +113,19 @@
 			"organisation", call->organisation, key, value, NULL);
 }
 
-/* The nodes that this one knows of. */
+/* Returns the members known to this node; the node owns the result. */
 const struct membership *node_members(const struct node *node)
 {
 	return node->membership;
 }
 
-/* Tells the other nodes that this one takes no new work. */
+/* Announces to the other nodes that this one takes no new calls. */
 void node_set_leaving(struct node *node)
 {
 	membership_set_state(node->membership, MEMBER_LEAVING);
 }
 
-/* Begins the node's life: reads the configuration and finds its peers. */
+/* Starts the node: reads the configuration and contacts its peers. */
 void node_start(struct node *node, int64_t now_us, struct action_list *actions)
 {
 	node->now_us = now_us;
@@ -154,8 +164,8 @@
 	return NULL;
 }
 
-static void node_take_peer(struct node *node,
-			   const struct peer_message *message)
+static void node_dispatch_peer(struct node *node,
+			       const struct peer_message *message)
 {
 	switch (message->type) {
 	case PEER_PING:
@@ -202,7 +212,7 @@
 	case PEER_ROUTES:
 	case PEER_ROUTES_ASK:
 	case PEER_CHOOSE:
-	case PEER_CHOSEN: /* the gateway's */
+	case PEER_CHOSEN: /* handled by the gateway */
 	case PEER_MESSAGE_TYPES:
 		break;
 	}
@@ -216,18 +226,21 @@
 
 	counters_add(&node->counters, COUNTER_PEER_RECEIVED, 1);
 	if (message->from && *message->from) {
-		node_take_peer(node, message);
+		node_dispatch_peer(node, message);
 		return;
 	}
 	sender = node_find_sender(node, message);
 	if (!sender) {
-		/* Not heard of yet, or replaced: its asks are repeated. */
+		/*
+		 * The sender is not a member yet or its incarnation was
+		 * replaced. Senders repeat their requests.
+		 */
 		counters_add(&node->counters, COUNTER_EVENTS_UNKNOWN, 1);
 		return;
 	}
 	known.from = sender->name;
 	known.from_address = sender->peer_address;
-	node_take_peer(node, &known);
+	node_dispatch_peer(node, &known);
 }
 
 static void node_receive_kv(struct node *node, const struct kv_answer *answer)
@@ -265,7 +278,7 @@
 		node_call_receive(node, &event->call);
 		break;
 	case EVENT_CALL_GONE:
-		node_call_gone(node, event->call_gone);
+		node_call_disconnect(node, event->call_gone);
 		break;
 	case EVENT_CALL_FLOW:
 		node_call_flow(node, &event->call_flow);
@@ -315,7 +328,7 @@
 	}
 }
 
-static void node_wake_calls(struct node *node)
+static void node_run_call_timers(struct node *node)
 {
 	uint64_t id;
 
@@ -326,22 +339,22 @@
 			return;
 		call = g_hash_table_lookup(node->calls, &id);
 		if (call)
-			node_call_wake(node, call);
+			node_call_handle_timer(node, call);
 	}
 }
 
 static void node_check_drained(struct node *node)
 {
-	int64_t quiet_us =
+	int64_t grace_end_us =
 		node->drain_started_us + node->options.answer_keep_us;
 
-	if (!node->draining || node->stopped || node->now_us <= quiet_us)
+	if (!node->draining || node->stopped || node->now_us <= grace_end_us)
 		return;
 	/*
-	 * Callers that came while it stood still, if only for a moment, have
-	 * not been answered yet.
+	 * Calls that arrived during a pause, however short, may still be
+	 * waiting in the event queue.
 	 */
-	if (node->now_us < MAX(node->settled_us, node->caught_up_us))
+	if (node->now_us < MAX(node->settled_us, node->drain_check_from_us))
 		return;
 	if (g_hash_table_size(node->calls) > 0 &&
 	    (node->options.drain_timeout_us == 0 ||
@@ -353,15 +366,16 @@
 }
 
 /*
- * The more a node holds, the rarer it reports: a report grows with what is
- * held, and homes reckon with the pace of each engine in between.
+ * The interval of progress reports grows with the number of held tickets,
+ * since the size of a report does. Between reports, homes extrapolate from the
+ * speed of each engine.
  */
 static int64_t node_progress_interval_us(const struct node *node)
 {
 	int64_t held = g_hash_table_size(node->tickets);
 
-	return CLAMP(held * PROGRESS_PER_HELD_US, node->options.progress_us,
-		     MAX(PROGRESS_LONGEST_US, node->options.progress_us));
+	return CLAMP(held * PROGRESS_PER_TICKET_US, node->options.progress_us,
+		     MAX(MAX_PROGRESS_INTERVAL_US, node->options.progress_us));
 }
 
 static void node_run_periodic(struct node *node)
@@ -393,20 +407,23 @@
 }
 
 /*
- * The node's timers let it step several times a second, so a longer gap means
- * that the process stood still. What it knows is as old as that: it would send
- * new work to an endpoint that has left meanwhile. It first takes in what has
- * come, and hears its peers and endpoints, for half a second.
+ * Advances the node's time. Its timers make it step several times a second, so
+ * a longer gap means that the process was paused. The node's state is then as
+ * old as the gap, and it could dispatch new work to an endpoint that has left
+ * meanwhile. Dispatch is held for half a second, in which the node handles the
+ * queued events and hears from its peers and endpoints.
  */
 static void node_advance(struct node *node, int64_t now_us)
 {
-	int64_t longest_us = MAX(PAUSE_US, 4 * node->options.progress_us);
+	int64_t threshold_us =
+		MAX(PAUSE_THRESHOLD_US, 4 * node->options.progress_us);
 	char gap_ms[32];
 
-	if (now_us - node->now_us > node->options.progress_us + STEP_SLACK_US)
-		node->caught_up_us = now_us + STEP_SLACK_US;
-	if (node->now_us && now_us - node->now_us > longest_us) {
-		node->settled_us = now_us + SETTLE_US;
+	if (now_us - node->now_us >
+	    node->options.progress_us + STEP_TOLERANCE_US)
+		node->drain_check_from_us = now_us + STEP_TOLERANCE_US;
+	if (node->now_us && now_us - node->now_us > threshold_us) {
+		node->settled_us = now_us + PAUSE_HOLD_US;
 		node->next_poll_us = now_us;
 		g_snprintf(gap_ms, sizeof(gap_ms), "%" G_GINT64_FORMAT,
 			   (now_us - node->now_us) / MS_US);
@@ -417,8 +434,10 @@
 }
 
 /*
- * Takes one event and appends what is to be done. now_us never falls; the
- * actions are to be carried out in order before the next step.
+ * Handles one event and all work that is due, and appends the resulting
+ * actions. Time does not go back: a now_us below that of an earlier step counts
+ * as the earlier one. The caller carries out the actions in order before the
+ * next step.
  */
 void node_step(struct node *node, int64_t now_us, const struct event *event,
 	       struct action_list *actions)
@@ -426,7 +445,7 @@
 	node->actions = actions;
 	node_advance(node, now_us);
 	node_dispatch(node, event);
-	node_wake_calls(node);
+	node_run_call_timers(node);
 	membership_step(node->membership, node->now_us, actions);
 	node_check_members(node);
 	node_config_step(node);
@@ -440,7 +459,7 @@
 	node->actions = NULL;
 }
 
-/* When the node wants an EVENT_TIMER next, in us. */
+/* Returns when the next EVENT_TIMER is due, in us. */
 int64_t node_next_due_us(const struct node *node)
 {
 	int64_t due_us = timer_heap_next_due_us(node->timers);
@@ -460,7 +479,7 @@
 	return due_us;
 }
 
-/* The node's counters; adapters of the same process add to them too. */
+/* Returns the node's counters. Adapters of this process add to them too. */
 struct counters *node_counters(struct node *node)
 {
 	return &node->counters;
--- a/core/node/node.h
+++ b/core/node/node.h
@@ -14,14 +14,15 @@
 G_BEGIN_DECLS
 
 /*
- * One entry VM's decisions. No clock, socket, thread or global: time comes
- * with each step, randomness from the seed, and all effects are actions.
+ * The decision logic of one entry VM. It uses no clock, socket, thread or
+ * global: the caller passes the time with each step, random numbers come from
+ * the seed, and all effects are returned as actions.
  */
 
-/* How entry nodes get room on engines. */
+/* How entry nodes obtain capacity on engines. */
 enum node_placement {
-	NODE_PLACEMENT_HOME,  /* each shard of engines has one home node */
-	NODE_PLACEMENT_SHARES /* each node counts its share by itself */
+	NODE_PLACEMENT_HOME,  /* granted by the home node of each shard */
+	NODE_PLACEMENT_SHARES /* each node uses its own share */
 };
 
 struct node_options {
@@ -31,30 +32,30 @@
 	const char *http_address;
 	const char *peer_address;
 	const char *const *seeds; /* peer addresses, NULL-terminated */
-	uint64_t incarnation;	  /* random, never used by an earlier start */
+	uint64_t incarnation;	  /* random; unique to this start of the node */
 	uint64_t seed;
-	const char *event_key; /* secret shared by nodes; signs event ids */
-	bool discovers_nodes;  /* also by the key-value service */
+	const char *event_key; /* secret of all nodes; signs event ids */
+	bool discovers_nodes;  /* also through the key-value service */
 	enum node_placement placement;
 	enum placement_policy policy;
 
-	int64_t heartbeat_us;	/* one probe of a random peer */
-	int64_t suspect_us;	/* from no answer to dead */
-	int64_t load_poll_us;	/* home asks its endpoints */
-	int64_t progress_us;	/* entry node reports to homes */
-	int64_t answer_keep_us; /* life of a /v1/nodes answer */
-	int64_t id_memory_us;	/* outcomes of ids are remembered */
+	int64_t heartbeat_us; /* interval between probes of a random peer */
+	int64_t suspect_us;   /* from a missed answer to dead */
+	int64_t load_poll_us; /* interval at which a home polls its endpoints */
+	int64_t progress_us;  /* shortest interval of reports to homes */
+	int64_t answer_keep_us; /* validity of a /v1/nodes answer */
+	int64_t id_memory_us;	/* how long outcomes of request ids are kept */
 	int64_t first_token_timeout_us;
-	int64_t stall_timeout_us; /* between chunks of a stream */
+	int64_t stall_timeout_us; /* longest time between two chunks */
 	int64_t plain_timeout_us;
 	int64_t kv_timeout_us;
 	int64_t drain_timeout_us;
-	int64_t isolation_us; /* neither service nor most peers for so long */
-	int32_t max_calls;    /* open calls */
+	int64_t isolation_us; /* without the service and without most peers */
+	int32_t max_calls;    /* open calls at this node */
 	int32_t max_waiting;  /* calls waiting for an endpoint */
-	int32_t max_outcomes; /* ids remembered */
-	int32_t max_outcome_bytes; /* kept of one outcome */
-	int32_t retry_percent;	   /* retries as a share of first attempts */
+	int32_t max_outcomes; /* request ids whose outcome is kept */
+	int32_t max_outcome_bytes; /* stored per outcome */
+	int32_t retry_percent;	   /* retries in percent of first attempts */
 	int32_t max_attempts;
 	int32_t engines_per_shard;
 };
--- a/core/node/node_call.c
+++ b/core/node/node_call.c
@@ -4,12 +4,11 @@
 
 #include <string.h>
 
-#define PLACE_PATIENCE_US 600000	     /* without a word from the home */
-#define PLACE_REPEAT_US (5 * G_USEC_PER_SEC) /* once it is known to queue */
+#define HOME_ACK_TIMEOUT_US 600000 /* until the home must have answered */
+#define PLACE_REPEAT_US (5 * G_USEC_PER_SEC) /* for a ticket queued there */
 
-static void node_refuse_at_once(struct node *node,
-				const struct event_call *event,
-				enum refusal refusal, enum run run)
+static void node_reject_call(struct node *node, const struct event_call *event,
+			     enum refusal refusal, enum run run)
 {
 	int64_t retry_after_us = 0;
 
@@ -21,8 +20,8 @@
 }
 
 /*
- * A draining node goes on taking calls for as long as callers may hold an
- * answer of /v1/nodes that names it, so that leaving costs nobody an error.
+ * A draining node accepts calls for as long as callers may use a /v1/nodes
+ * answer that lists it, so that a drain causes no errors.
  */
 static enum refusal node_check_ready(const struct node *node)
 {
@@ -65,7 +64,10 @@
 	return REFUSAL_NONE;
 }
 
-/* A hash of what an endpoint would get: another body is another request. */
+/*
+ * Returns a hash of the service, path and body of a request. A reused id with a
+ * different hash is a different request.
+ */
 uint64_t node_fingerprint(const struct request *request)
 {
 	gsize size;
@@ -79,7 +81,7 @@
 	return hash;
 }
 
-/* The rest of a generation: only the event id says where it is. */
+/* Resumes a generation; only the event id tells its endpoint and position. */
 static void call_resume(struct node *node, struct call *call)
 {
 	const struct config_service *service =
@@ -124,7 +126,10 @@
 	return call;
 }
 
-/* Takes a caller's request: checks, its id, then an endpoint for it. */
+/*
+ * Handles a new request: checks it, resolves its id, then places it at an
+ * endpoint. A request that fails a check is refused.
+ */
 void node_call_receive(struct node *node, const struct event_call *event)
 {
 	const struct config_organisation *organisation = NULL;
@@ -138,7 +143,7 @@
 		organisation =
 			config_find_key(node->config, event->request->bearer);
 	if (refusal != REFUSAL_NONE) {
-		node_refuse_at_once(
+		node_reject_call(
 			node, event, refusal,
 			node_id_run(node, event->request,
 				    organisation ? organisation->name : NULL));
@@ -149,7 +154,7 @@
 	if (refusal == REFUSAL_NONE)
 		refusal = request_check(event->request, service);
 	if (refusal != REFUSAL_NONE) {
-		node_refuse_at_once(node, event, refusal, RUN_NO);
+		node_reject_call(node, event, refusal, RUN_NO);
 		return;
 	}
 	call = call_open(node, event, organisation, service);
@@ -162,7 +167,7 @@
 		node_place_call(node, call);
 }
 
-/* When the call's timers want it looked at next. */
+/* Returns when the current state of a call times out; INT64_MAX: never. */
 static int64_t call_due_us(const struct node *node, const struct call *call)
 {
 	const struct node_options *options = &node->options;
@@ -176,57 +181,57 @@
 		return call->retry_us;
 	case CALL_SENT:
 		if (call->kind == SERVICE_PLAIN)
-			return call->state_us + options->plain_timeout_us;
-		return call->state_us + options->first_token_timeout_us;
+			return call->state_since_us + options->plain_timeout_us;
+		return call->state_since_us + options->first_token_timeout_us;
 	case CALL_STREAMING:
 		if (call->paused)
 			return INT64_MAX;
 		return call->last_heard_us + options->stall_timeout_us;
 	case CALL_FORWARDED:
-		return call->state_us + options->plain_timeout_us;
+		return call->state_since_us + options->plain_timeout_us;
 	case CALL_JOINED:
 		return deadline_us;
 	case CALL_CLAIMING:
-		return INT64_MAX; /* every key-value call is answered once */
+		return INT64_MAX; /* each key-value request gets one answer */
 	}
 	return INT64_MAX;
 }
 
-/* Sets the call's next wake-up. */
-void node_call_arm(struct node *node, struct call *call)
+/* Arms the call's timer for the timeout of its current state. */
+void node_call_arm_timer(struct node *node, struct call *call)
 {
 	int64_t due_us = call_due_us(node, call);
 
-	if (due_us == call->wake_us)
+	if (due_us == call->timer_us)
 		return;
-	call->wake_us = due_us;
+	call->timer_us = due_us;
 	if (due_us != INT64_MAX)
 		timer_heap_add(node->timers, due_us, call->id);
 }
 
-/* Moves a call to a state and sets its timer. */
+/* Moves a call to a state and arms its timer. */
 void node_call_set_state(struct node *node, struct call *call,
 			 enum call_state state)
 {
 	call->state = state;
-	call->state_us = node->now_us;
+	call->state_since_us = node->now_us;
 	if (state == CALL_PLACING)
 		call->retry_us =
 			node->now_us + (call->home_heard ? PLACE_REPEAT_US
-							 : PLACE_PATIENCE_US);
-	node_call_arm(node, call);
+							 : HOME_ACK_TIMEOUT_US);
+	node_call_arm_timer(node, call);
 }
 
-/* Looks at a call whose timer has fired. */
-void node_call_wake(struct node *node, struct call *call)
+/* Handles the timer of a call; arms it again if the timeout has moved. */
+void node_call_handle_timer(struct node *node, struct call *call)
 {
 	int64_t due_us = call_due_us(node, call);
 
-	if (call->wake_us > node->now_us)
+	if (call->timer_us > node->now_us)
 		return;
-	call->wake_us = INT64_MAX;
+	call->timer_us = INT64_MAX;
 	if (due_us > node->now_us) {
-		node_call_arm(node, call);
+		node_call_arm_timer(node, call);
 		return;
 	}
 	switch (call->state) {
@@ -245,7 +250,7 @@
 		node_attempt_timeout(node, call);
 		break;
 	case CALL_JOINED:
-		/* The first of its id may run, or still wait for a place. */
+		/* The first call of this id may be running or waiting. */
 		node_call_refuse(node, call, REFUSAL_IN_PROGRESS, RUN_UNKNOWN,
 				 NODE_RETRY_AFTER_US);
 		break;
@@ -263,9 +268,9 @@
 }
 
 /*
- * Visits all calls, oldest first. Ending one may end others that wait for the
- * same outcome, so the walk goes by number and skips those that are gone by
- * then.
+ * Visits all calls in order of id, oldest first. A visit may end other calls
+ * that wait for the same outcome, so this iterates over a copy of the ids and
+ * skips calls that no longer exist.
  */
 void node_call_each(struct node *node,
 		    void (*visit)(struct node *node, struct call *call))
@@ -288,7 +293,10 @@
 	g_array_unref(ids);
 }
 
-/* Forgets a call; whatever it holds is let go. */
+/*
+ * Removes and frees a call: cancels its attempt, releases its ticket and its
+ * share of the organisation's limits. Sends nothing to the caller.
+ */
 void node_call_drop(struct node *node, struct call *call)
 {
 	if (call->attempt)
@@ -299,11 +307,12 @@
 }
 
 /*
- * The caller closed. A request that may not be repeated goes on to its end,
- * so that a caller that comes back with the same id gets its outcome; a
- * stream it may resume is only let go; anything else is cancelled.
+ * Handles the disconnect of a caller. A request that must not be repeated runs
+ * to its end, so that a later call with the same id gets its outcome. A stream
+ * that the caller may resume is detached but keeps running at its endpoint. All
+ * other calls are cancelled.
  */
-void node_call_gone(struct node *node, uint64_t id)
+void node_call_disconnect(struct node *node, uint64_t id)
 {
 	struct call *call = g_hash_table_lookup(node->calls, &id);
 
@@ -330,7 +339,10 @@
 	node_call_drop(node, call);
 }
 
-/* Stops or restarts reading from the endpoint as the caller keeps up. */
+/*
+ * Pauses reading from the endpoint when the caller's buffer is full, and
+ * resumes it when there is room again.
+ */
 void node_call_flow(struct node *node, const struct event_call_flow *event)
 {
 	struct call *call = g_hash_table_lookup(node->calls, &event->call);
@@ -340,7 +352,7 @@
 		return;
 	call->paused = event->full;
 	call->last_heard_us = node->now_us;
-	node_call_arm(node, call);
+	node_call_arm_timer(node, call);
 	if (!call->attempt)
 		return;
 	action = action_list_add(node->actions, ACTION_ATTEMPT_FLOW);
--- a/core/node/node_create.c
+++ b/core/node/node_create.c
@@ -4,11 +4,11 @@
 
 #include <string.h>
 
-/* A node's options, and its making and freeing. */
+/* Options, creation and destruction of a node. */
 
 #define MS_US 1000
 
-/* Sets every tunable to its default; names and addresses stay unset. */
+/* Sets all tunables to their defaults; names and addresses stay unset. */
 void node_options_default(struct node_options *options)
 {
 	memset(options, 0, sizeof(*options));
@@ -145,7 +145,10 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-/* A node that has not started yet; the options are copied. */
+/*
+ * Creates a node that has not started yet. The options are copied; the caller
+ * owns the node and frees it with node_destroy.
+ */
 struct node *node_create(const struct node_options *options)
 {
 	struct node *node = g_new0(struct node, 1);
@@ -175,7 +178,7 @@
 	g_strfreev(node->seeds);
 }
 
-/* Frees a node and all it holds; NULL is allowed. */
+/* Frees a node and all that it owns; NULL is allowed. */
 void node_destroy(struct node *node)
 {
 	if (!node)
--- a/core/node/node_dump.c
+++ b/core/node/node_dump.c
@@ -1,6 +1,6 @@
 #include "core/node/node_state.h"
 
-/* The state dump: what an operator needs to see what the node does. */
+/* The state dump, from which operators see the current state of a node. */
 
 static void dump_add_string(GVariantBuilder *dump, const char *key,
 			    const char *value)
@@ -117,7 +117,10 @@
 	return g_variant_builder_end(&builder);
 }
 
-/* The node's state as a floating variant of type a{sv}; no secret in it. */
+/*
+ * Returns the node's state as a floating variant of type a{sv}. It contains no
+ * secrets.
+ */
 GVariant *node_dump(const struct node *node, int64_t now_us)
 {
 	GVariantBuilder dump;
--- a/core/node/node_query.c
+++ b/core/node/node_query.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-/* What callers and operators ask about the system itself. */
+/* Queries of callers and operators about the system itself. */
 
 static void query_answer(struct node *node, uint64_t call, GBytes *body)
 {
@@ -38,7 +38,7 @@
 	g_free(prefix);
 }
 
-/* Leaving and suspected nodes are left out: callers should not go there. */
+/* Omits leaving and suspected nodes, which callers should not use. */
 static GBytes *node_format_nodes(const struct node *node)
 {
 	GVariantBuilder answer;
@@ -71,7 +71,7 @@
 	query_answer(node, call, g_bytes_ref(node->config_document));
 }
 
-/* Answers a query; plans and their confirmation go through the plan book. */
+/* Answers a query; the plan book handles plan, confirm and history. */
 void node_query_receive(struct node *node, const struct event_query *event)
 {
 	switch (event->type) {
--- a/core/node/node_reply.c
+++ b/core/node/node_reply.c
@@ -3,11 +3,14 @@
 #include "core/stream/event_id.h"
 
 /*
- * What a caller is given: the chunks of its stream, a whole answer, or why
- * there is none.
+ * Replies to callers: the chunks of a stream, a complete answer, or a refusal
+ * with its reason.
  */
 
-/* Answers a caller that has no call of its own. */
+/*
+ * Refuses a request by its id, without a struct call. detail is copied and may
+ * be NULL; retry_after_us 0 means no Retry-After.
+ */
 void node_refuse(struct node *node, uint64_t call, enum refusal refusal,
 		 enum run run, int64_t retry_after_us, const char *detail)
 {
@@ -40,21 +43,21 @@
 }
 
 /*
- * What a repeated id may do after this. An idempotent request may be run
- * again whatever became of the first; any other only if nothing was sent.
+ * Records in the outcome whether a repeat of the id may run. An idempotent
+ * request may always run again, any other only if nothing was sent.
  */
-static void call_note_refusal(struct call *call, enum run run)
+static void call_record_refusal(struct call *call, enum run run)
 {
-	bool may_run = run == RUN_NO || !call->request->non_idempotent;
+	bool may_rerun = run == RUN_NO || !call->request->non_idempotent;
 
 	if (call->outcome && call->state != CALL_JOINED)
 		call->outcome->state =
-			may_run ? OUTCOME_NOT_RUN : OUTCOME_UNKNOWN;
+			may_rerun ? OUTCOME_NOT_RUN : OUTCOME_UNKNOWN;
 	if (call->outcome && run != RUN_NO)
 		call->outcome->maybe_run = true;
 }
 
-/* A request refused for what it is, not for what this node can do now. */
+/* Whether the request itself is at fault, not the state of this node. */
 static bool refusal_is_about_request(enum refusal refusal)
 {
 	return refusal == REFUSAL_BAD_REQUEST ||
@@ -62,14 +65,15 @@
 }
 
 /*
- * Gives the caller its final answer. Once tokens were delivered that is the
- * stream's typed end; before, a refusal. run says what is known of its runs.
+ * Refuses a call and frees it. Once its stream has begun, the caller gets a
+ * typed end of the stream, before that a refusal. run tells whether the request
+ * has run, as far as the node knows.
  */
 void node_call_refuse(struct node *node, struct call *call,
 		      enum refusal refusal, enum run run,
 		      int64_t retry_after_us)
 {
-	call_note_refusal(call, run);
+	call_record_refusal(call, run);
 	if (run == RUN_NO && !refusal_is_about_request(refusal))
 		run = node_id_run(node, call->request, call->organisation);
 	if (call->begun) {
@@ -95,8 +99,8 @@
 }
 
 /*
- * Passes a chunk on to the caller with the id it may resume from. The caller
- * of this has checked that the chunk is the next one of this generation.
+ * Forwards a chunk to the caller with the event id to resume from. The chunk
+ * must be the next one of this generation.
  */
 void node_call_chunk(struct node *node, struct call *call, GBytes *data,
 		     int64_t token_count)
@@ -136,7 +140,7 @@
 	outcome->state = OUTCOME_WHOLE;
 }
 
-/* Ends a stream that came whole. */
+/* Ends a stream that is complete, and frees the call. */
 void node_call_end(struct node *node, struct call *call, enum refusal refusal,
 		   const char *finish_reason)
 {
@@ -151,7 +155,7 @@
 	node_call_drop(node, call);
 }
 
-/* Gives the caller a plain endpoint's whole answer. */
+/* Sends the complete answer of an endpoint to the caller; frees the call. */
 void node_call_answer(struct node *node, struct call *call,
 		      const struct event_attempt_answer *answer)
 {
--- a/core/node/node_state.h
+++ b/core/node/node_state.h
@@ -18,42 +18,42 @@
 G_BEGIN_DECLS
 
 /*
- * The node's state and the functions its parts call in one another. Private
+ * The state of a node and the functions that its source files share. Private
  * to core/node/:
  *
- *   node_create.c   options, making and freeing
- *   node.c          life, dispatch of events
- *   node_dump.c     the state dump
- *   node_call.c     callers: checks, timers, what they do
- *   node_reply.c    what callers are given
- *   node_id.c       request ids: who may run them, forwarded
- *   node_claim.c    plain keys, claimed in the key-value service
- *   node_outcome.c  what a repeated id is answered
- *   node_place.c    entry node's side of getting an endpoint
- *   node_share.c    its own shares, where there is no home
- *   node_progress.c what it tells homes of what it holds
- *   node_attempt.c  what endpoints answer; retries
- *   node_shard.c    shards of endpoints and their homes
- *   node_home.c     home's side: grants, load
- *   node_leaving.c  endpoints that leave
- *   node_config.c   configuration: key-value service, peers
- *   node_discovery.c  other nodes by the key-value service
- *   node_limits.c   organisations' limits, shared between nodes
- *   node_rollout.c  rollouts under a lease
- *   node_query.c    GET /v1/nodes, show, plan, confirm
+ *   node_create.c     options, creation and destruction
+ *   node.c            start, event dispatch, periodic work, drain
+ *   node_dump.c       the state dump
+ *   node_call.c       calls: admission checks, timers, disconnects
+ *   node_reply.c      replies to callers
+ *   node_id.c         request ids: which node may run them, forwarding
+ *   node_claim.c      plain keys, claimed in the key-value service
+ *   node_outcome.c    replies to repeated request ids
+ *   node_place.c      entry node's side of placement
+ *   node_share.c      placement by this node's own share, without a home
+ *   node_progress.c   progress reports to homes
+ *   node_attempt.c    attempts at endpoints, retries
+ *   node_shard.c      shards of endpoints and their homes
+ *   node_home.c       home's side of placement: grants, load
+ *   node_leaving.c    endpoints that are leaving
+ *   node_config.c     configuration from the key-value service and peers
+ *   node_discovery.c  discovery of nodes through the key-value service
+ *   node_limits.c     limits of organisations, shared between nodes
+ *   node_rollout.c    rollouts under a lease
+ *   node_query.c      GET /v1/nodes, show, plan, confirm, history
  */
 
-/* A shard of a service's endpoints, for which this node is home or asks. */
+/* A shard of a service's endpoints and the home that grants their capacity. */
 struct shard {
 	char *service;
 	uint32_t index;
-	char *home;	       /* name of its home, NULL when there is none */
-	bool is_home;	       /* this node */
-	bool dirty;	       /* something a decision depends on has changed */
-	int64_t grant_from_us; /* new home: nothing is granted before */
-	GHashTable *awaited;   /* names whose holdings have not come yet */
+	char *home;	       /* name of its home node; NULL: none */
+	bool is_home;	       /* this node is the home */
+	bool dirty;	       /* an input of placement has changed */
+	int64_t grant_from_us; /* a new home grants nothing before */
+	GHashTable *awaited;   /* nodes whose first report is outstanding */
 	struct placement *placement; /* home only */
-	GPtrArray *endpoints;	     /* char *: addresses */
+	GPtrArray *endpoints;	     /* char *: endpoint addresses */
 	enum service_kind kind;
 };
 
@@ -61,8 +61,8 @@
 struct home_ticket {
 	uint64_t ticket;
 	uint64_t incarnation; /* of the asker */
-	char *asker;	      /* its name */
-	char *asker_address;  /* its peer address; NULL: this node itself */
+	char *asker;	      /* name of the asker */
+	char *asker_address;  /* peer address; NULL: this node */
 	struct shard *shard;
 	char *endpoint; /* NULL while queued */
 };
@@ -76,37 +76,37 @@
 	uint64_t next_ticket;
 	uint64_t next_kv_id;
 	int64_t now_us;
-	int64_t settled_us;   /* after a pause: nothing is dispatched before */
-	int64_t caught_up_us; /* after any late step: drained not before */
-	struct action_list *actions; /* of the step being made */
+	int64_t settled_us;	     /* after a pause: no dispatch before */
+	int64_t drain_check_from_us; /* after a late step: no stop before */
+	struct action_list *actions; /* output of the current step */
 
-	struct config *config; /* NULL before the first */
+	struct config *config; /* NULL before the first one */
 	GBytes *config_document;
-	int64_t kv_heard_us; /* last answer of the key-value service */
+	int64_t kv_heard_us; /* last contact with the key-value service */
 	int64_t started_us;
-	uint64_t config_kv_id; /* reading the configuration; 0: not */
+	uint64_t config_kv_id; /* pending read of the configuration; 0: none */
 	int64_t config_read_us;
-	int64_t config_asked_us; /* a member for its copy; 0: it came */
-	bool config_is_absent;	 /* none was written yet; watchers will tell */
+	int64_t config_asked_us; /* when a copy was requested; 0: none */
+	bool config_is_absent;	 /* none stored yet; the watch delivers it */
 	bool watching;
 
 	struct membership *membership;
 	uint64_t epoch_seen;
-	struct holder *own_entry; /* this node's, for others to find it */
+	struct holder *own_entry; /* registration in the key-value service */
 	int64_t register_us;
 	int64_t next_list_us;
-	uint64_t list_kv_id; /* reading the others' entries; 0: not */
+	uint64_t list_kv_id; /* pending read of all entries; 0: none */
 	uint32_t alone_lists;
-	bool is_registered; /* as last logged */
+	bool is_registered; /* state that was last logged */
 	bool draining;
 	bool stopped;
 	int64_t drain_started_us;
 
-	GHashTable *calls;	   /* id to struct call */
+	GHashTable *calls;	   /* call id to struct call */
 	GHashTable *tickets;	   /* ticket to struct call */
 	GHashTable *attempts;	   /* attempt to struct call */
 	GHashTable *claims;	   /* key-value request id to call id */
-	struct timer_heap *timers; /* call ids */
+	struct timer_heap *timers; /* of call ids */
 	struct outcome_store *outcomes;
 	struct retry_budget *retries;
 	struct quarantine *quarantine;
@@ -116,32 +116,32 @@
 	GPtrArray *rollouts; /* struct node_rollout */
 	int64_t next_limits_us;
 	int64_t claim_lease;
-	int64_t claim_lease_us; /* when it was granted */
+	int64_t claim_lease_us; /* when the lease was granted */
 	uint64_t claim_lease_kv_id;
 
 	GPtrArray *shards;	    /* struct shard */
-	GHashTable *service_shards; /* name to GPtrArray of them, by index */
+	GHashTable *service_shards; /* service name to its shards, by index */
 	GHashTable *home_tickets;   /* ticket to struct home_ticket */
-	GHashTable *shares;  /* service name to struct placement: no home */
-	GHashTable *lengths; /* service name to struct length_estimate */
-	GHashTable *leaving; /* endpoint to struct leaving_mark */
-	int64_t next_announce_us; /* of endpoints that leave */
+	GHashTable *shares;	    /* service name to placement without home */
+	GHashTable *lengths;	    /* service name to struct length_estimate */
+	GHashTable *leaving;	    /* endpoint to struct leaving_mark */
+	int64_t next_announce_us;   /* of leaving endpoints, to peers */
 	int64_t next_poll_us;
 	int64_t next_progress_us;
 	int32_t progress_count;
-	int32_t progress_full; /* so many reports to come in full */
+	int32_t progress_full; /* number of next reports to send in full */
 };
 
 /*
- * When a caller may come again after a refusal that passes: by then a new
- * home grants, which waits for holdings a second at most (node_shard.c).
+ * Retry-After of a temporary refusal. By then a new home grants capacity: it
+ * waits at most a second for the reports of other nodes (node_shard.c).
  */
 #define NODE_RETRY_AFTER_US G_USEC_PER_SEC
 
-/* A peer's word that an endpoint leaves holds so long. */
+/* How long a peer's announcement of a leaving endpoint is valid. */
 #define PEER_LEAVING_US (30 * G_USEC_PER_SEC)
 
-/* Which of the ways has marked an endpoint as leaving; any one is enough. */
+/* Sources that mark an endpoint as leaving; one is enough. */
 enum leaving_source {
 	LEAVING_CONFIG = 1,
 	LEAVING_VM_LIST = 2,
@@ -152,16 +152,16 @@
 
 struct leaving_mark {
 	uint32_t sources;      /* bits of enum leaving_source */
-	int64_t peer_until_us; /* a peer's word counts until then */
+	int64_t peer_until_us; /* when LEAVING_PEER expires */
 };
 
 /* node_call.c */
 uint64_t node_fingerprint(const struct request *request);
 void node_call_receive(struct node *node, const struct event_call *event);
-void node_call_gone(struct node *node, uint64_t id);
+void node_call_disconnect(struct node *node, uint64_t id);
 void node_call_flow(struct node *node, const struct event_call_flow *event);
-void node_call_wake(struct node *node, struct call *call);
-void node_call_arm(struct node *node, struct call *call);
+void node_call_handle_timer(struct node *node, struct call *call);
+void node_call_arm_timer(struct node *node, struct call *call);
 void node_call_set_state(struct node *node, struct call *call,
 			 enum call_state state);
 void node_call_drop(struct node *node, struct call *call);
--- a/tests/node_script.cc
+++ b/tests/node_script.cc
@@ -39,7 +39,7 @@
 	struct peer_message *message;
 };
 
-using words = std::map<std::string, std::string>;
+using option_map = std::map<std::string, std::string>;
 
 class script
 {
@@ -76,9 +76,9 @@
 	std::string prefix(const script_node &node) const;
 };
 
-words read_words(std::istringstream &in)
+option_map parse_options(std::istringstream &in)
 {
-	words found;
+	option_map found;
 	std::string word;
 
 	while (in >> word) {
@@ -97,18 +97,18 @@
 	return name + ":1";
 }
 
-int64_t number(const words &found, const char *key, int64_t otherwise)
+int64_t number(const option_map &found, const char *key, int64_t fallback)
 {
 	auto item = found.find(key);
 
-	return item == found.end() ? otherwise : std::stoll(item->second);
+	return item == found.end() ? fallback : std::stoll(item->second);
 }
 
-char *text(const words &found, const char *key, const char *otherwise)
+char *text(const option_map &found, const char *key, const char *fallback)
 {
 	auto item = found.find(key);
 
-	return g_strdup(item == found.end() ? otherwise : item->second.c_str());
+	return g_strdup(item == found.end() ? fallback : item->second.c_str());
 }
 
 void script::add_node(std::istringstream &in)
@@ -119,7 +119,7 @@
 	std::vector<const char *> pointers;
 
 	in >> name;
-	words found = read_words(in);
+	option_map found = parse_options(in);
 	auto added = std::make_unique<script_node>();
 
 	for (auto &item : nodes)
@@ -154,7 +154,7 @@
 
 void script::set_config(std::istringstream &in)
 {
-	words found = read_words(in);
+	option_map found = parse_options(in);
 	struct config *config = config_create();
 	struct config_service *service =
 		config_add_service(config, "writer", SERVICE_GENERATION);
@@ -200,7 +200,7 @@
 	uint64_t id = 0;
 
 	in >> id >> kind;
-	words found = read_words(in);
+	option_map found = parse_options(in);
 	struct request *request =
 		request_create(kind == "plain"	  ? REQUEST_PLAIN
 			       : kind == "resume" ? REQUEST_RESUME
--- a/tests/node_script_test.cc
+++ b/tests/node_script_test.cc
@@ -31,7 +31,7 @@
 {
 };
 
-/* The file holds the script and, behind each line, what it brings about. */
+/* Each file holds a script and, after each line, the expected actions. */
 TEST_P(NodeScript, DoesWhatItsFileSays)
 {
 	std::string path =
@@ -40,13 +40,13 @@
 	std::stringstream expected;
 
 	expected << in.rdbuf();
-	std::string seen = node_script_run(expected.str());
+	std::string actual = node_script_run(expected.str());
 
 	if (getenv("WRITE_SCRIPTS")) {
-		std::ofstream(path) << seen;
+		std::ofstream(path) << actual;
 		return;
 	}
-	EXPECT_EQ(expected.str(), seen);
+	EXPECT_EQ(expected.str(), actual);
 }
 
 INSTANTIATE_TEST_SUITE_P(Scripts, NodeScript, testing::ValuesIn(script_names()),
