--- a/core/node/node_attempt.c
+++ b/core/node/node_attempt.c
@@ -5,10 +5,10 @@
 #include <string.h>
 
 /*
- * What endpoints answer. A request is run again only while nothing of it was
- * delivered and it either certainly did not run or may run twice; once a token
- * has gone to the caller, the same generation is attached to again or the
- * stream ends with a typed error.
+ * Attempts of a call at endpoints, and their results. A request is sent again
+ * only while nothing was delivered to the caller, and only if it certainly did
+ * not run or is idempotent. Once a token was delivered, the node reattaches to
+ * the same generation or ends the stream with a typed error.
  */
 
 #define MAX_GENERATION_LENGTH 95
@@ -37,7 +37,7 @@
 	call->attempt = 0;
 }
 
-/* Sends a call to the endpoint it was granted. */
+/* Sends a call to the endpoint that was granted to it. */
 void node_attempt_send(struct node *node, struct call *call)
 {
 	struct action *action;
@@ -64,7 +64,10 @@
 		 call->endpoint);
 }
 
-/* Attaches to the call's generation behind the tokens it already has. */
+/*
+ * Attaches to the call's generation at its endpoint, from the first token that
+ * the caller does not have yet.
+ */
 void node_attempt_resume(struct node *node, struct call *call)
 {
 	struct action *action;
@@ -82,7 +85,10 @@
 		 call->endpoint);
 }
 
-/* Lets an attempt go; with keep_running its generation goes on for a while. */
+/*
+ * Ends the call's attempt, if there is one. With keep_running the endpoint
+ * continues the generation for a while, so that it can be resumed.
+ */
 void node_attempt_cancel(struct node *node, struct call *call,
 			 bool keep_running)
 {
@@ -97,8 +103,9 @@
 }
 
 /*
- * A request that was in flight at crashes of two endpoints is not given a
- * third: it would take the engines down one after another.
+ * Refuses the call if its request is in quarantine, and returns whether it did.
+ * A request that was in flight when two endpoints crashed is not sent to a
+ * third, since it could crash one engine after another.
  */
 bool node_attempt_is_quarantined(struct node *node, struct call *call)
 {
@@ -114,7 +121,7 @@
 	return true;
 }
 
-static void node_report_crash(struct node *node, const struct call *call)
+static void node_broadcast_crash(struct node *node, const struct call *call)
 {
 	quarantine_report_crash(node->quarantine, call->fingerprint,
 				call->endpoint, node->now_us);
@@ -132,7 +139,7 @@
 	}
 }
 
-/* Another node saw a request in flight when an endpoint failed. */
+/* Records that another node had a request in flight at a failed endpoint. */
 void node_attempt_peer_crash(struct node *node,
 			     const struct peer_quarantine *report)
 {
@@ -140,7 +147,11 @@
 				report->endpoint, node->now_us);
 }
 
-/* Tries again elsewhere after a pause, or gives the final answer now. */
+/*
+ * Schedules another attempt after a backoff. Refuses the call at once if its
+ * request is in quarantine, if the caller of an idempotent request is gone, or
+ * if the attempts or the retry budget are used up.
+ */
 void node_attempt_retry(struct node *node, struct call *call)
 {
 	enum run run = call->maybe_run ? RUN_UNKNOWN : RUN_NO;
@@ -185,9 +196,12 @@
 	node_call_set_state(node, call, CALL_REATTACH);
 }
 
-/* The endpoint may be running it, or may have; nothing was delivered. */
-static void call_failed_unseen(struct node *node, struct call *call,
-			       enum refusal refusal)
+/*
+ * Handles a failed attempt whose request may have run or may still run, but of
+ * which nothing was delivered to the caller.
+ */
+static void call_fail_undelivered(struct node *node, struct call *call,
+				  enum refusal refusal)
 {
 	call->maybe_run = true;
 	node_place_release(node, call, RELEASE_FAILED);
@@ -199,8 +213,8 @@
 	node_attempt_retry(node, call);
 }
 
-static void call_failed_not_run(struct node *node, struct call *call,
-				enum attempt_stage stage)
+static void call_fail_not_run(struct node *node, struct call *call,
+			      enum attempt_stage stage)
 {
 	node_place_release(node, call,
 			   stage == ATTEMPT_NOT_SENT ? RELEASE_LOST
@@ -209,13 +223,13 @@
 	node_attempt_retry(node, call);
 }
 
-/* Whether the caller, or its remembered outcome, has part of an answer. */
+/* Whether part of an answer is with the caller or in the stored outcome. */
 static bool call_has_tokens(const struct call *call)
 {
 	return call->state == CALL_STREAMING || call->state == CALL_REATTACH;
 }
 
-/* An attempt ended without a whole answer. */
+/* Handles an attempt that ended without a complete answer. */
 void node_attempt_failed(struct node *node,
 			 const struct event_attempt_failed *event)
 {
@@ -233,7 +247,7 @@
 		return;
 	}
 	if (event->stage == ATTEMPT_SENT)
-		node_report_crash(node, call);
+		node_broadcast_crash(node, call);
 	if (call_has_tokens(call) && event->stage == ATTEMPT_GONE) {
 		node_place_release(node, call, RELEASE_FAILED);
 		node_call_refuse(node, call, REFUSAL_GENERATION_GONE, RUN_YES,
@@ -247,16 +261,16 @@
 	switch (event->stage) {
 	case ATTEMPT_NOT_SENT:
 	case ATTEMPT_REFUSED:
-		call_failed_not_run(node, call, event->stage);
+		call_fail_not_run(node, call, event->stage);
 		break;
 	case ATTEMPT_GONE:
 	case ATTEMPT_SENT:
-		call_failed_unseen(node, call, REFUSAL_ENDPOINT_FAILED);
+		call_fail_undelivered(node, call, REFUSAL_ENDPOINT_FAILED);
 		break;
 	}
 }
 
-/* An endpoint was silent for too long. */
+/* Handles an attempt whose endpoint, or node, sent nothing for too long. */
 void node_attempt_timeout(struct node *node, struct call *call)
 {
 	node_log(node, LOG_LEVEL_WARN, "attempt_timeout", call, "state",
@@ -274,10 +288,10 @@
 		return;
 	}
 	node_attempt_cancel(node, call, false);
-	call_failed_unseen(node, call, REFUSAL_ENDPOINT_TIMEOUT);
+	call_fail_undelivered(node, call, REFUSAL_ENDPOINT_TIMEOUT);
 }
 
-/* The engine has named the generation. */
+/* Handles the engine's id for the generation of an attempt. */
 void node_attempt_started(struct node *node,
 			  const struct event_attempt_started *event)
 {
@@ -288,20 +302,21 @@
 	if (!event_id_is_token(event->generation, MAX_GENERATION_LENGTH) ||
 	    (call->generation &&
 	     strcmp(call->generation, event->generation) != 0)) {
-		/* An answer that cannot be resumed, or another generation's. */
+		/* It cannot be resumed, or is another generation. */
 		node_attempt_cancel(node, call, false);
 		if (call_has_tokens(call))
 			call_reattach(node, call);
 		else
-			call_failed_unseen(node, call, REFUSAL_ENDPOINT_FAILED);
+			call_fail_undelivered(node, call,
+					      REFUSAL_ENDPOINT_FAILED);
 		return;
 	}
 	if (!call->generation)
 		call_set_generation(call, event->generation);
 }
 
-static bool chunk_is_sane(const struct call *call,
-			  const struct event_attempt_chunk *event)
+static bool chunk_is_valid(const struct call *call,
+			   const struct event_attempt_chunk *event)
 {
 	return call->generation && event->token_count >= 0 &&
 	       event->token_count <= MAX_CHUNK_TOKENS &&
@@ -309,9 +324,10 @@
 }
 
 /*
- * Tokens from an engine. Only the chunk that follows the last one is passed
- * on: an earlier one was delivered already, and behind a gap the caller would
- * get an answer with a hole, so the generation is attached to again.
+ * Handles tokens from an engine. Only the chunk that directly follows the last
+ * one is forwarded. An earlier chunk was already delivered and is dropped.
+ * After a gap the caller would miss tokens, so the node reattaches to the
+ * generation.
  */
 void node_attempt_chunk(struct node *node,
 			const struct event_attempt_chunk *event)
@@ -321,7 +337,7 @@
 	if (!call)
 		return;
 	call->last_heard_us = node->now_us;
-	if (!chunk_is_sane(call, event) ||
+	if (!chunk_is_valid(call, event) ||
 	    event->first_token < call->next_token) {
 		counters_add(&node->counters, COUNTER_CHUNKS_DROPPED, 1);
 		return;
@@ -332,7 +348,8 @@
 		if (call_has_tokens(call))
 			call_reattach(node, call);
 		else
-			call_failed_unseen(node, call, REFUSAL_ENDPOINT_FAILED);
+			call_fail_undelivered(node, call,
+					      REFUSAL_ENDPOINT_FAILED);
 		return;
 	}
 	call->reattaches = 0;
@@ -341,7 +358,7 @@
 	node_call_chunk(node, call, event->data, event->token_count);
 }
 
-/* The engine says that the generation is whole. */
+/* Handles the engine's message that the generation is complete. */
 void node_attempt_done(struct node *node,
 		       const struct event_attempt_done *event)
 {
@@ -352,11 +369,12 @@
 	call_end_attempt(node, call);
 	if (!call->generation || (event->token_count >= 0 &&
 				  event->token_count != call->next_token)) {
-		/* Its count and ours differ: something was lost on the way. */
+		/* The token counts differ, so some tokens were lost. */
 		if (call_has_tokens(call))
 			call_reattach(node, call);
 		else
-			call_failed_unseen(node, call, REFUSAL_ENDPOINT_FAILED);
+			call_fail_undelivered(node, call,
+					      REFUSAL_ENDPOINT_FAILED);
 		return;
 	}
 	node_place_release(node, call, RELEASE_WHOLE);
@@ -364,8 +382,9 @@
 }
 
 /*
- * A plain endpoint's, or another node's, whole answer; from an engine the
- * refusal of a request that it cannot read, which tells nothing of lengths.
+ * Handles a complete answer of a plain endpoint or of another node. An engine
+ * answers this way only to refuse a request that it cannot read, so its answer
+ * is not counted as the length of an answer.
  */
 void node_attempt_answer(struct node *node,
 			 const struct event_attempt_answer *event)
--- a/core/node/node_claim.c
+++ b/core/node/node_claim.c
@@ -3,14 +3,14 @@
 #include <string.h>
 
 /*
- * Claims: a non-idempotent request with a plain key is claimed in the
- * key-value service before it is sent, and the claim names the one node that
- * may run it.
+ * Claims. Before a non-idempotent request with a plain key is sent, the node
+ * creates an entry for the key in the key-value service. The entry names the
+ * only node that may run the request.
  */
 
 #define CLAIM_PREFIX "/siskinlink/claims/"
-#define CLAIM_TTL_S 86400 /* a key is guarded for a day after its claim */
-#define CLAIM_LEASE_RENEW_US (3600ll * G_USEC_PER_SEC) /* 24 writes a day */
+#define CLAIM_TTL_S 86400 /* claims last a day, less their lease's age */
+#define CLAIM_LEASE_REPLACE_US (3600ll * G_USEC_PER_SEC) /* 24 leases a day */
 
 static char *claim_key(const struct call *call)
 {
@@ -25,9 +25,9 @@
 	return key;
 }
 
-/* The answer to this request of the key-value service is for the call. */
-static void call_await_kv(struct node *node, const struct call *call,
-			  uint64_t kv_id)
+/* Records that the answer to key-value request kv_id belongs to the call. */
+static void call_expect_kv_answer(struct node *node, const struct call *call,
+				  uint64_t kv_id)
 {
 	g_hash_table_insert(node->claims, g_memdup2(&kv_id, sizeof(kv_id)),
 			    g_memdup2(&call->id, sizeof(call->id)));
@@ -42,7 +42,7 @@
 		call->outcome->nonce);
 	GBytes *value = g_bytes_new_take(text, strlen(text));
 
-	call_await_kv(
+	call_expect_kv_answer(
 		node, call,
 		node_kv_send(node, KV_CAS, key, value, 0, node->claim_lease));
 	g_bytes_unref(value);
@@ -50,17 +50,20 @@
 }
 
 /*
- * Claims live as long as the lease they hang on: one lease an hour for all of
- * a node's claims, granted for a day and never renewed, so that they vanish
- * by themselves without a write each.
+ * A claim exists as long as the lease it is attached to. All claims that a node
+ * makes within an hour share one lease, which is granted for a day and never
+ * renewed. Claims thus expire without a write for each of them.
  */
 static bool node_claim_lease_is_fresh(const struct node *node)
 {
 	return node->claim_lease &&
-	       node->now_us - node->claim_lease_us < CLAIM_LEASE_RENEW_US;
+	       node->now_us - node->claim_lease_us < CLAIM_LEASE_REPLACE_US;
 }
 
-/* Claims the call's key; the call waits for node_claim_kv meanwhile. */
+/*
+ * Claims the call's key, after asking for a lease if there is no recent one.
+ * The call stays in CALL_CLAIMING until node_claim_kv gets the answer.
+ */
 void node_claim_send(struct node *node, struct call *call)
 {
 	node_call_set_state(node, call, CALL_CLAIMING);
@@ -87,8 +90,9 @@
 }
 
 /*
- * Another node may have run it: those who wait here learn just that. The id
- * is then as never seen here, since the claim itself guards every later run.
+ * The key has another claim, under which the request may have run, so the calls
+ * that wait for this outcome are refused with an unknown outcome. The outcome
+ * is then reset to not run, since that claim prevents any later run.
  */
 static void call_give_up_claim(struct node *node, struct call *call)
 {
@@ -100,9 +104,11 @@
 }
 
 /*
- * Somebody's claim stands. With our nonce it is ours: an earlier answer was
- * lost. Another node's is asked of that node; one of our own incarnation with
- * another nonce was forgotten, so it may have run.
+ * The key is already claimed. A claim with this outcome's nonce was written by
+ * this call, and the answer to that write was lost. If another node holds the
+ * claim, the call is forwarded to that node. A claim with this incarnation and
+ * another nonce belongs to an outcome that has expired here, so the request may
+ * have run.
  */
 static void call_claim_taken(struct node *node, struct call *call,
 			     const struct kv_entry *entry)
@@ -110,17 +116,17 @@
 	gsize size;
 	const char *data = g_bytes_get_data(entry->value, &size);
 	char *text = g_strndup(data, size);
-	char **parts = g_strsplit(text, " ", 4);
+	char **fields = g_strsplit(text, " ", 4);
 	const struct member *holder = NULL;
 	guint64 incarnation = 0;
 	guint64 nonce = 0;
 
-	if (g_strv_length(parts) == 3 &&
-	    g_ascii_string_to_unsigned(parts[1], 16, 0, G_MAXUINT64,
+	if (g_strv_length(fields) == 3 &&
+	    g_ascii_string_to_unsigned(fields[1], 16, 0, G_MAXUINT64,
 				       &incarnation, NULL) &&
-	    g_ascii_string_to_unsigned(parts[2], 16, 0, G_MAXUINT64, &nonce,
+	    g_ascii_string_to_unsigned(fields[2], 16, 0, G_MAXUINT64, &nonce,
 				       NULL))
-		holder = node_find_incarnation(node, parts[0], incarnation);
+		holder = node_find_incarnation(node, fields[0], incarnation);
 	if (incarnation == node->options.incarnation &&
 	    nonce == call->outcome->nonce) {
 		call_claimed(node, call);
@@ -130,7 +136,7 @@
 		call_give_up_claim(node, call);
 		node_id_forward(node, call, holder);
 	}
-	g_strfreev(parts);
+	g_strfreev(fields);
 	g_free(text);
 }
 
@@ -156,9 +162,10 @@
 		call_claim_failed(node, call);
 		return;
 	}
-	/* The write may stand: only reading it back tells. */
+	/* The write may have succeeded, so the claim is read back. */
 	key = claim_key(call);
-	call_await_kv(node, call, node_kv_send(node, KV_GET, key, NULL, 0, 0));
+	call_expect_kv_answer(node, call,
+			      node_kv_send(node, KV_GET, key, NULL, 0, 0));
 	g_free(key);
 }
 
@@ -177,9 +184,9 @@
 }
 
 /*
- * A service may cut a lease to the longest it has. Claims that vanish within
- * the day would let a key's request run a second time; so none is made, and
- * its callers are refused.
+ * A key-value service may shorten a lease to its own maximum. Claims
+ * that expire within the day would let a key's request run a second time, so a
+ * shorter lease is not used and the calls that wait for it are refused.
  */
 static bool claim_lease_is_long_enough(struct node *node,
 				       const struct kv_answer *answer)
@@ -208,7 +215,10 @@
 	node_call_each(node, call_lease_granted);
 }
 
-/* Takes the answers to claims; false when the answer is not one. */
+/*
+ * Handles an answer of the key-value service to a claim or to the grant of a
+ * claim lease. Returns false when the answer belongs to neither.
+ */
 bool node_claim_kv(struct node *node, const struct kv_answer *answer)
 {
 	const uint64_t *id;
--- a/core/node/node_id.c
+++ b/core/node/node_id.c
@@ -6,9 +6,10 @@
 
 /*
  * Request ids. An id made from a prefix of /v1/nodes belongs to the node and
- * incarnation that the prefix names: only that process may ever send a request
- * of this id to an endpoint, so its memory is enough and a paused or replaced
- * node cannot double it. Other ids are plain keys: see node_claim.c.
+ * incarnation named in the prefix. Only that process may send a request with
+ * this id to an endpoint, so its in-memory outcomes suffice, and a paused or
+ * replaced node cannot run the request twice. All other ids are plain keys: see
+ * node_claim.c.
  */
 
 static char *outcome_key(const char *organisation, const char *id)
@@ -16,9 +17,9 @@
 	return g_strconcat(organisation, "\n", id, NULL);
 }
 
-/* Whether this process is the only one that may ever run the id. */
-static bool node_answers_for(const struct node *node, const char *text,
-			     const struct outcome *outcome)
+/* Whether this process is the only one that may ever run this id's request. */
+static bool node_may_run_id(const struct node *node, const char *text,
+			    const struct outcome *outcome)
 {
 	struct request_id id;
 
@@ -29,14 +30,14 @@
 	       id.issued_us + node->options.id_memory_us > node->now_us;
 }
 
-static enum run outcome_run(const struct outcome *outcome)
+static enum run outcome_run_state(const struct outcome *outcome)
 {
 	if (!outcome)
 		return RUN_NO;
 	switch (outcome->state) {
 	case OUTCOME_WHOLE:
 		return RUN_YES;
-	case OUTCOME_RUNNING: /* sent: it may not have begun */
+	case OUTCOME_RUNNING: /* sent, but possibly not started */
 	case OUTCOME_UNKNOWN:
 		return RUN_UNKNOWN;
 	case OUTCOME_NOT_RUN:
@@ -47,10 +48,11 @@
 }
 
 /*
- * What a refusal may say of a request that this node has not sent. The caller
- * may have sent the same id before, to another node, where it ran; "not run"
- * would then be false. It is said only without an id, or by the one process
- * that may run the id and knows that it did not.
+ * Returns the run state to put into the refusal of a request that this node
+ * has not sent to an endpoint. The caller may have sent the same id to another
+ * node, which ran it, and RUN_NO would then be false. RUN_NO is returned only
+ * for a request without an id, or when this process is the only one that may
+ * run the id and has not run this request. organisation is NULL if unknown.
  */
 enum run node_id_run(const struct node *node, const struct request *request,
 		     const char *organisation)
@@ -66,14 +68,18 @@
 	key = outcome_key(organisation, id);
 	outcome = outcome_store_find(node->outcomes, key);
 	g_free(key);
-	if (!node_answers_for(node, id, outcome))
+	if (!node_may_run_id(node, id, outcome))
 		return RUN_UNKNOWN;
 	if (outcome && outcome->fingerprint != node_fingerprint(request))
-		return RUN_NO; /* what ran by this id is another request */
-	return outcome_run(outcome);
+		return RUN_NO; /* the id was used for another request */
+	return outcome_run_state(outcome);
 }
 
-/* Asks the node that issued the id, or holds its claim, for the answer. */
+/*
+ * Forwards the call to member, the node that issued the id or holds its claim.
+ * Refuses the call with an unknown outcome when member is NULL or the request
+ * has been forwarded once already.
+ */
 void node_id_forward(struct node *node, struct call *call,
 		     const struct member *member)
 {
@@ -101,7 +107,10 @@
 		 member->name);
 }
 
-/* The member of this name, if it is still the process that is meant. */
+/*
+ * Returns the member of this name, owned by the membership, or NULL when there
+ * is none or its process has another incarnation.
+ */
 const struct member *node_find_incarnation(const struct node *node,
 					   const char *name,
 					   uint64_t incarnation)
@@ -113,8 +122,12 @@
 	return member;
 }
 
-/* Finds or makes the outcome of an id this node may answer for. */
-static bool call_enter(struct node *node, struct call *call, int64_t expires_us)
+/*
+ * Finds or creates the outcome of the call's id. Returns true when the call
+ * may be sent to an endpoint.
+ */
+static bool call_attach_outcome(struct node *node, struct call *call,
+				int64_t expires_us)
 {
 	char *key =
 		outcome_key(call->organisation, call->request->idempotency_key);
@@ -142,9 +155,9 @@
 }
 
 /*
- * An id with an issuer. Ids older than outcomes are remembered are refused:
- * such an id may have run and been forgotten, so running it would double it.
- * Age and expiry are both counted from the time in the id on this clock.
+ * Handles an id that names its issuer. An id older than id_memory_us is
+ * refused: its outcome may have expired, and the request could run twice. Age
+ * and expiry are both computed from the time in the id and this node's clock.
  */
 static bool call_receive_issued(struct node *node, struct call *call,
 				const struct request_id *id)
@@ -171,12 +184,13 @@
 		node_call_refuse(node, call, REFUSAL_BAD_REQUEST, RUN_NO, 0);
 		return false;
 	}
-	return call_enter(node, call, expires_us);
+	return call_attach_outcome(node, call, expires_us);
 }
 
 /*
- * Looks at the request's id. True when the call may go on to an endpoint now;
- * otherwise it was answered, waits, or was handed to another node.
+ * Handles the id of a received request. Returns true when the call may be sent
+ * to an endpoint now. Otherwise the call was answered or refused, was forwarded
+ * to another node, or waits for a claim or for the outcome of the same id.
  */
 bool node_id_receive(struct node *node, struct call *call)
 {
@@ -186,7 +200,8 @@
 		return true;
 	if (request_id_parse(&id, call->request->idempotency_key))
 		return call_receive_issued(node, call, &id);
-	if (!call_enter(node, call, node->now_us + node->options.id_memory_us))
+	if (!call_attach_outcome(node, call,
+				 node->now_us + node->options.id_memory_us))
 		return false;
 	if (!call->request->non_idempotent || call->outcome->claimed)
 		return true;
@@ -194,7 +209,10 @@
 	return false;
 }
 
-/* From here on the request may run: a repeated id must not start another. */
+/*
+ * Marks the call's outcome as running. From here on the request may run, so a
+ * call that repeats its id must not be sent as well.
+ */
 void node_id_dispatched(struct call *call)
 {
 	if (call->outcome)
--- a/core/node/node_outcome.c
+++ b/core/node/node_outcome.c
@@ -3,8 +3,8 @@
 #include "core/stream/event_id.h"
 
 /*
- * What a repeated id is answered: the first run's outcome, at once where it
- * is known, otherwise when it is.
+ * Answers calls that repeat a request id. They get the outcome of the first
+ * run, at once if it is known and otherwise when that run has ended.
  */
 
 static void call_replay_stream(struct node *node, struct call *call,
@@ -49,7 +49,10 @@
 	action->answer.replayed = true;
 }
 
-/* Gives a repeated id the first outcome; the call is gone afterwards. */
+/*
+ * Answers the call with the outcome of the first run, or refuses it when the
+ * answer was too large to keep. Frees the call.
+ */
 static void call_replay(struct node *node, struct call *call,
 			const struct outcome *outcome)
 {
@@ -77,8 +80,9 @@
 }
 
 /*
- * Refuses this call alone: without its outcome, node_call_refuse has nothing
- * to settle for those that wait for the same id.
+ * Refuses only this call. The call is detached from its outcome first, since
+ * node_call_refuse would otherwise answer every call that waits for the same
+ * id. retry_after_us is 0 when a retry does not help. Frees the call.
  */
 void node_outcome_refuse(struct node *node, struct call *call,
 			 enum refusal refusal, enum run run,
@@ -88,11 +92,15 @@
 	node_call_refuse(node, call, refusal, run, retry_after_us);
 }
 
-/* An id seen before. True when the call may go on to an endpoint. */
+/*
+ * Handles a call whose id already has an outcome. Returns true when the call
+ * may be sent to an endpoint. Otherwise it waits for the outcome, or has been
+ * answered or refused and is freed.
+ */
 bool node_outcome_repeat(struct node *node, struct call *call,
 			 struct outcome *outcome)
 {
-	/* Nothing ran here by this id yet: whose body it is, is still open. */
+	/* Nothing has run with this id, so it is not bound to a body yet. */
 	if (outcome->state == OUTCOME_NOT_RUN)
 		outcome->fingerprint = call->fingerprint;
 	if (outcome->fingerprint != call->fingerprint) {
@@ -120,8 +128,8 @@
 	return false;
 }
 
-static void node_settle_waiting(struct node *node, struct call *call,
-				struct outcome *outcome)
+static void call_answer_joined(struct node *node, struct call *call,
+			       struct outcome *outcome)
 {
 	switch (outcome->state) {
 	case OUTCOME_WHOLE:
@@ -140,7 +148,10 @@
 	}
 }
 
-/* Answers the calls that waited for the outcome of this one's id. */
+/*
+ * Answers the calls that wait for the outcome of this call's id, and detaches
+ * this call from the outcome. Does nothing for a call that itself waits.
+ */
 void node_outcome_settle(struct node *node, struct call *call)
 {
 	struct outcome *outcome = call->outcome;
@@ -156,7 +167,7 @@
 			node->calls, &g_array_index(waiting, uint64_t, i));
 
 		if (other && other->state == CALL_JOINED)
-			node_settle_waiting(node, other, outcome);
+			call_answer_joined(node, other, outcome);
 	}
 	g_array_unref(waiting);
 }
--- a/core/node/node_place.c
+++ b/core/node/node_place.c
@@ -4,11 +4,11 @@
 #include <string.h>
 
 /*
- * The entry node's side of getting an endpoint: asks the home of a shard, and
- * goes on by its own share of each endpoint when no home answers.
+ * Placement on the entry node. It asks the home of a shard for an endpoint, and
+ * uses its local share of each endpoint when no home answers.
  */
 
-#define PROGRESS_FULL_AFTER_CHANGE 3
+#define FULL_PROGRESS_AFTER_CHANGE 3
 
 static uint64_t node_new_ticket(struct node *node)
 {
@@ -19,19 +19,25 @@
 	return (high << 32) | node->next_ticket;
 }
 
-/* Whether this node is the home of that name. */
+/* Whether home, a node name, is this node. */
 bool node_is_home(const struct node *node, const char *home)
 {
 	return strcmp(home, node->options.name) == 0;
 }
 
-/* The home as a member; NULL: it is not known. */
+/*
+ * Returns the member that is named home, owned by the membership, or NULL if
+ * the name is empty or no member has it.
+ */
 const struct member *node_find_home(const struct node *node, const char *home)
 {
 	return *home ? membership_find(node->membership, home) : NULL;
 }
 
-/* What a placement is told of a call. Strings stay the call's. */
+/*
+ * Fills in a placement request for the call. Its strings still belong to the
+ * call.
+ */
 void node_place_fill(struct node *node, const struct call *call,
 		     struct placement_request *request)
 {
@@ -70,9 +76,10 @@
 }
 
 /*
- * What this node knows of the lengths of a service's answers. It learns from
- * its own callers' answers also while others are home, by its share, because
- * a new home that knew nothing would refuse as late what it cannot judge.
+ * Returns this node's estimate of the lengths of a service's answers; the node
+ * owns it. While another node is home, the local share updates the estimate
+ * from the answers to this node's own callers. Otherwise a new home would have
+ * no data and refuse calls as too late without knowing how long they take.
  */
 struct length_estimate *node_lengths(struct node *node, const char *service)
 {
@@ -118,7 +125,10 @@
 	g_hash_table_insert(node->tickets, &call->ticket, call);
 }
 
-/* Starts to get an endpoint for a call that holds none. */
+/*
+ * Requests an endpoint for a call that holds none, under a new ticket. Refuses
+ * the call when its service has no endpoints.
+ */
 void node_place_call(struct node *node, struct call *call)
 {
 	struct shard *shard = node_shard_pick(node, call->request->service);
@@ -137,7 +147,11 @@
 		call_place_by_home(node, call, shard);
 }
 
-/* A call that waits for an endpoint is looked at again. */
+/*
+ * Handles the timer of a call that waits for an endpoint: refuses the call if
+ * its deadline has passed, uses the local share if the home is silent, and
+ * otherwise repeats the request to the home.
+ */
 void node_place_wake(struct node *node, struct call *call)
 {
 	const struct member *home;
@@ -152,9 +166,10 @@
 	if (*call->home && (!home || !call->home_heard) &&
 	    !node_is_home(node, call->home)) {
 		/*
-		 * The home is silent: paused, cut off or just gone. Waiting for
-		 * the membership to say so would cost the caller seconds; a
-		 * share of each endpoint can overfill it a little, no more.
+		 * The home does not answer: it is paused, unreachable or has
+		 * just stopped. Waiting until the membership detects this
+		 * would cost the caller seconds. Placing by the local share
+		 * can overfill an endpoint, but only a little.
 		 */
 		node_place_withdraw(node, call);
 		call_new_ticket(node, call);
@@ -189,7 +204,7 @@
 	node_send(node, member->peer_address, message);
 }
 
-/* The shard whose home gives the call its place; NULL: none. */
+/* Returns the shard of the call's endpoint, or NULL if it has none. */
 struct shard *node_call_shard(struct node *node, const struct call *call)
 {
 	if (!call->endpoint)
@@ -198,7 +213,10 @@
 				      call->endpoint);
 }
 
-/* Gives back what the call's ticket holds, at home and in the own share. */
+/*
+ * Releases what the call's ticket holds, at the home and in the local share.
+ * The call has no ticket afterwards.
+ */
 void node_place_release(struct node *node, struct call *call,
 			enum release_outcome outcome)
 {
@@ -224,13 +242,16 @@
 	call->ticket = 0;
 }
 
-/* Takes back a ticket that is no longer wanted; nothing was learned by it. */
+/*
+ * Cancels the call's ticket. It counts neither as a success or failure of the
+ * endpoint nor as the length of a complete answer.
+ */
 void node_place_withdraw(struct node *node, struct call *call)
 {
 	node_place_release(node, call, RELEASE_CANCELLED);
 }
 
-/* Whether the configuration gives the service this endpoint. */
+/* Whether the configuration lists the endpoint for the service. */
 bool node_service_has(const struct node *node, const char *service,
 		      const char *endpoint)
 {
@@ -241,9 +262,10 @@
 }
 
 /*
- * A grant. One that is late or doubled is only counted: its ticket was given
- * back when the call went elsewhere, and if that word was lost, the next
- * report of what this node holds frees the room.
+ * Handles a grant; an empty endpoint means that the home has queued the ticket.
+ * A late or duplicate grant is only counted. Its ticket was released when the
+ * call was placed elsewhere, and if that message was lost, the next progress
+ * report of this node frees the room at the home.
  */
 void node_place_placed(struct node *node, uint64_t ticket, const char *endpoint)
 {
@@ -284,7 +306,7 @@
 	node_attempt_send(node, call);
 }
 
-/* A refusal of the home, or of the own share. */
+/* Handles a refusal by the home or by the local share. */
 void node_place_refused(struct node *node, uint64_t ticket,
 			enum refusal refusal, int64_t retry_after_us)
 {
@@ -299,7 +321,7 @@
 			 retry_after_us);
 }
 
-/* Whether the call has a place at an endpoint. */
+/* Whether the call holds room at an endpoint. */
 bool node_call_is_placed(const struct call *call)
 {
 	return call->ticket && call->endpoint &&
@@ -307,7 +329,7 @@
 		call->state == CALL_REATTACH);
 }
 
-static void call_hold_at_self(struct node *node, struct call *call,
+static void call_hold_as_home(struct node *node, struct call *call,
 			      struct shard *shard)
 {
 	struct placement_request request;
@@ -319,9 +341,9 @@
 }
 
 /*
- * Whether a call waits at a node that is not home of its shard now. One that
- * stopped being home has dropped its tickets, this node's own included, and
- * nobody would ever answer.
+ * Whether a call waits at a node that is no longer the home of its shard. A
+ * node that stops being home drops all its tickets, including those of its own
+ * calls, so the call would never be answered.
  */
 static bool call_waits_at_former_home(struct node *node,
 				      const struct call *call)
@@ -349,13 +371,17 @@
 	g_free(call->home);
 	call->home = g_strdup(shard->home);
 	if (shard->is_home)
-		call_hold_at_self(node, call, shard);
+		call_hold_as_home(node, call, shard);
 }
 
-/* Calls that wait at, or hold room of, a home that is home no more. */
+/*
+ * Moves all calls that wait at, or hold room granted by, a former home to the
+ * current home of their shard. The next progress report is due at once, and it
+ * and the ones after it are full, since a new home has no data yet.
+ */
 void node_place_rehome(struct node *node)
 {
 	node_call_each(node, call_rehome);
 	node->next_progress_us = node->now_us;
-	node->progress_full = PROGRESS_FULL_AFTER_CHANGE;
+	node->progress_full = FULL_PROGRESS_AFTER_CHANGE;
 }
--- a/core/node/node_progress.c
+++ b/core/node/node_progress.c
@@ -3,15 +3,16 @@
 #include <string.h>
 
 /*
- * Reports to homes of what this node holds on their engines, from which a new
- * home is built.
+ * Progress reports to homes: what this node's calls hold on the engines of
+ * their shards. A new home builds its state from these reports.
  */
 
-#define PROGRESS_FULL_EVERY 8
+#define FULL_PROGRESS_INTERVAL 8 /* every 8th progress report is full */
 
 /*
- * A home that granted a ticket knows all of it but its progress, so most
- * reports carry no more. Some come in full: a new home knows nothing yet.
+ * Adds a call to a progress report. The home that granted a ticket has all of
+ * its data except the progress, so most reports carry only the ticket and its
+ * tokens. Full reports carry everything, for a new home without any data.
  */
 static void progress_add_call(struct peer_progress *progress,
 			      const struct call *call, bool full)
@@ -49,8 +50,8 @@
 	return shard ? shard->home : NULL;
 }
 
-static struct peer_message *progress_for(struct node *node, GHashTable *homes,
-					 const char *home)
+static struct peer_message *
+progress_message(struct node *node, GHashTable *homes, const char *home)
 {
 	struct peer_message *message = g_hash_table_lookup(homes, home);
 
@@ -87,10 +88,14 @@
 		return true;
 	}
 	node->progress_count++;
-	return node->progress_count % PROGRESS_FULL_EVERY == 0;
+	return node->progress_count % FULL_PROGRESS_INTERVAL == 0;
 }
 
-/* Tells every home what this node holds and waits for there. */
+/*
+ * Sends each home a progress report on the calls that hold or wait for room
+ * there. For shards whose home is this node, and for the local shares, updates
+ * the progress directly.
+ */
 void node_progress_send(struct node *node)
 {
 	GHashTable *homes =
@@ -102,9 +107,9 @@
 	for (guint i = 0; i < node->shards->len; i++) {
 		const struct shard *shard = g_ptr_array_index(node->shards, i);
 
-		/* A home of which nothing is held hears so now and then. */
+		/* With a full report, homes without calls get one too. */
 		if (full && shard->home && !shard->is_home)
-			progress_for(node, homes, shard->home);
+			progress_message(node, homes, shard->home);
 	}
 	g_hash_table_iter_init(&iter, node->calls);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -117,7 +122,7 @@
 			continue;
 		if (!node_is_home(node, home))
 			progress_add_call(
-				&progress_for(node, homes, home)->progress,
+				&progress_message(node, homes, home)->progress,
 				call, full);
 		else if (shard && shard->placement)
 			placement_progress(shard->placement, call->ticket,
--- a/core/node/node_share.c
+++ b/core/node/node_share.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 /*
- * Placing without a home: each node counts for itself what it has on each
- * endpoint and takes its share of what the endpoint can hold.
+ * Placement without a home. Each node counts its own calls on each endpoint and
+ * uses up to its share of the endpoint's capacity, the local share.
  */
 
 static void share_set_endpoints(struct node *node, struct placement *share,
@@ -21,7 +21,10 @@
 	}
 }
 
-/* This node's own share of a service's endpoints, made when first needed. */
+/*
+ * Returns the local share of a service's endpoints, and creates it on first
+ * use. The service must be in the configuration.
+ */
 static struct placement *node_share(struct node *node, const char *name)
 {
 	const struct config_service *service =
@@ -45,7 +48,7 @@
 	return share;
 }
 
-/* Asks this node's own share for a place. */
+/* Submits the call to the local share; node_share_step decides on it. */
 void node_share_place(struct node *node, struct call *call)
 {
 	struct placement_request request;
@@ -59,9 +62,9 @@
 }
 
 /*
- * Books a home's grant in the own share too. When the home is lost the share
- * takes over at once; if it took the engines for empty, its part of them would
- * be filled a second time, and what runs there preempted.
+ * Counts a home's grant in the local share as well. The local share takes over
+ * as soon as the home is lost. If it counted the engines as empty, it would
+ * fill its part of them a second time, and running requests would be preempted.
  */
 void node_share_hold(struct node *node, const struct call *call)
 {
@@ -72,7 +75,7 @@
 		       call->endpoint, call->next_token, node->now_us);
 }
 
-/* The number of nodes changed, and with it what each may fill by itself. */
+/* Adjusts the local shares to a changed number of nodes. */
 void node_share_resize(struct node *node)
 {
 	GHashTableIter iter;
@@ -84,7 +87,7 @@
 			share, (int32_t)membership_count(node->membership));
 }
 
-static void call_enter_share(struct node *node, struct call *call)
+static void call_restore_share(struct node *node, struct call *call)
 {
 	if (!call->home || node_is_home(node, call->home))
 		return;
@@ -97,16 +100,20 @@
 		node_share_hold(node, call);
 }
 
-/* Makes the shares anew after a change of the endpoints. */
+/*
+ * Rebuilds the local shares after the endpoints changed. Calls that waited in a
+ * share are placed again, and room that calls hold is counted again.
+ */
 void node_share_reset(struct node *node)
 {
 	g_hash_table_remove_all(node->shares);
-	node_call_each(node, call_enter_share);
+	node_call_each(node, call_restore_share);
 }
 
 /*
- * Tells the own share what a call has made. Without it the share goes on
- * counting each call as just begun, and overfills the engines.
+ * Updates the local share with the number of tokens the call has received.
+ * Without this the share would count each call as just started and overfill
+ * the engines.
  */
 void node_share_progress(struct node *node, const struct call *call)
 {
@@ -119,7 +126,7 @@
 				   node->now_us);
 }
 
-static void share_decide(struct node *node, struct placement *share)
+static void share_apply_decisions(struct node *node, struct placement *share)
 {
 	GArray *decisions =
 		g_array_new(FALSE, FALSE, sizeof(struct placement_decision));
@@ -143,14 +150,17 @@
 	g_array_unref(decisions);
 }
 
-/* Lets the node's own shares decide. */
+/*
+ * Grants or refuses the calls that wait in the local shares. The services are
+ * visited in the order of their names.
+ */
 void node_share_step(struct node *node)
 {
 	GList *names = g_list_sort(g_hash_table_get_keys(node->shares),
 				   (GCompareFunc)strcmp);
 
 	for (GList *item = names; item; item = item->next)
-		share_decide(node,
-			     g_hash_table_lookup(node->shares, item->data));
+		share_apply_decisions(
+			node, g_hash_table_lookup(node->shares, item->data));
 	g_list_free(names);
 }
--- a/tests/differential_faults.cc
+++ b/tests/differential_faults.cc
@@ -16,7 +16,7 @@
 	});
 }
 
-/* All open streams' callers stop reading for a while. */
+/* The callers of all open streams stop reading for for_us. */
 void Script::SlowCaller(int64_t for_us)
 {
 	for (const auto &[id, call] : calls_) {
@@ -44,11 +44,11 @@
 	case 0:
 		PlanKill(at_us, node, for_us);
 		break;
-	case 10: /* a failure domain */
+	case 10: /* all nodes of a failure domain */
 		for (int i = node % 2; i < options_.node_count; i += 2)
 			PlanKill(at_us, i, for_us);
 		break;
-	case 11: /* all start at once */
+	case 11: /* all nodes, which then start at the same time */
 		for (int i = 0; i < options_.node_count; i++)
 			PlanKill(at_us, i, for_us);
 		break;
@@ -93,12 +93,12 @@
 		mode.extra_delay_us = Chance(50) ? Pick(0, 2 * kSecond) : 0;
 		mode.lose_percent = Chance(50) ? 50 : 0;
 		At(at_us, [this, mode] {
-			Say("key-value service in trouble");
+			Say("key-value service fails");
 			world_set_kv_mode(world_, &mode);
 		});
 		At(at_us + for_us, [this] {
-			struct world_kv_mode well = {};
-			world_set_kv_mode(world_, &well);
+			struct world_kv_mode healthy = {};
+			world_set_kv_mode(world_, &healthy);
 		});
 		break;
 	case 8:
@@ -128,10 +128,10 @@
 	for (int64_t i = 0; i < count; i++)
 		PlanFault(Pick(kFirstCallUs, kLastCallUs));
 	At(kHealedUs, [this] {
-		struct world_kv_mode well = {};
+		struct world_kv_mode healthy = {};
 
 		Say("healed");
-		world_set_kv_mode(world_, &well);
+		world_set_kv_mode(world_, &healthy);
 		for (int32_t a = 0; a <= world_party_kv(world_); a++)
 			for (int32_t b = 0; b <= world_party_kv(world_); b++)
 				world_cut_link(world_, a, b, false);
--- a/tests/differential_script.h
+++ b/tests/differential_script.h
@@ -6,8 +6,9 @@
 #include <vector>
 
 /*
- * One random script of calls and faults against nodes in virtual time. Every
- * fourth seed has no faults: each call is then to end as NaiveService says.
+ * Result of one random script of calls and faults, run against nodes in virtual
+ * time. Every fourth seed has no faults, and each of its calls must then end as
+ * it does with NaiveService.
  */
 struct DifferentialResult {
 	std::vector<std::string> violations;
@@ -18,7 +19,7 @@
 	int resumed = 0;
 	int runs = 0;
 	int repeats_called_not_run = 0;
-	uint64_t digest = 0; /* of all that callers saw */
+	uint64_t digest = 0; /* of all events that callers received */
 };
 
 DifferentialResult differential_run(uint64_t seed, bool verbose);
--- a/tests/differential_test.cc
+++ b/tests/differential_test.cc
@@ -7,7 +7,7 @@
 namespace
 {
 
-uint64_t number_from_environment(const char *name, uint64_t fallback)
+uint64_t environment_number(const char *name, uint64_t fallback)
 {
 	const char *text = getenv(name);
 
@@ -17,20 +17,21 @@
 } // namespace
 
 /*
- * Callers send generations and plain calls, some twice, some again after a
+ * Callers send generations and plain calls, some twice and some again after a
  * failure, while nodes, endpoints, links and the key-value service fail at
- * random. Whatever a caller sees must agree with what ran, and without faults
- * with the naive service. SEED=N repeats one script and prints it.
+ * random. The answers must agree with what ran on the endpoints and, in scripts
+ * without faults, with NaiveService. SEED=N runs and prints one script.
  */
 TEST(Differential, CallersSeeWhatRanUnderRandomFaults)
 {
-	uint64_t only = number_from_environment("SEED", 0);
-	uint64_t first = only ? only : 1;
-	uint64_t count = only ? 1 : number_from_environment("SEEDS", 200);
-	DifferentialResult sum;
+	uint64_t single_seed = environment_number("SEED", 0);
+	uint64_t first = single_seed ? single_seed : 1;
+	uint64_t count = single_seed ? 1 : environment_number("SEEDS", 200);
+	DifferentialResult total;
 
 	for (uint64_t seed = first; seed < first + count; seed++) {
-		DifferentialResult result = differential_run(seed, only != 0);
+		DifferentialResult result =
+			differential_run(seed, single_seed != 0);
 
 		for (const auto &violation : result.violations)
 			ADD_FAILURE() << "seed " << seed << ": " << violation;
@@ -38,18 +39,18 @@
 			printf("to repeat: SEED=%lu build/bin/tests "
 			       "--gtest_filter='Differential.Callers*'\n",
 			       seed);
-		sum.calls += result.calls;
-		sum.whole += result.whole;
-		sum.refused += result.refused;
-		sum.broken += result.broken;
-		sum.resumed += result.resumed;
-		sum.runs += result.runs;
-		sum.repeats_called_not_run += result.repeats_called_not_run;
+		total.calls += result.calls;
+		total.whole += result.whole;
+		total.refused += result.refused;
+		total.broken += result.broken;
+		total.resumed += result.resumed;
+		total.runs += result.runs;
+		total.repeats_called_not_run += result.repeats_called_not_run;
 	}
 	printf("%lu seeds: %d calls, %d whole, %d refused, %d broken, "
 	       "%d resumed, %d runs, %d repeats refused as not run\n",
-	       count, sum.calls, sum.whole, sum.refused, sum.broken,
-	       sum.resumed, sum.runs, sum.repeats_called_not_run);
+	       count, total.calls, total.whole, total.refused, total.broken,
+	       total.resumed, total.runs, total.repeats_called_not_run);
 }
 
 TEST(Differential, SameSeedSameRun)
