--- a/core/placement/endpoint_book.c
+++ b/core/placement/endpoint_book.c
@@ -1,21 +1,30 @@
 #include "core/placement/endpoint_book.h"
 
-/* How old what is summed up may get. */
-#define REFRESH_US (200 * 1000)
+/* Ages at which the sums, and the demand of a call, are computed again. */
+#define SUMS_REFRESH_US (200 * 1000)
 #define DEMAND_REFRESH_US (2 * G_USEC_PER_SEC)
-/* A demand is filled anew after so much growth: it depends on its logarithm. */
-#define GROWTH_TOKENS 16
-#define GROWTH_DIVISOR 32
-#define PROJECT_MAX_TOKENS 256
-#define INTERVAL_FADE 0.98
-#define OBSERVED_TOKENS 4
-#define PREFIXES 256
-#define FOREIGN_REPORTS 4
+/*
+ * A demand is filled again when the output has grown by more than this number
+ * of tokens plus this fraction of its length: the demand depends on the
+ * logarithm of the length.
+ */
+#define REFILL_GROWTH_TOKENS 16
+#define REFILL_GROWTH_DIVISOR 32
+#define MAX_PROJECTED_TOKENS 256
+#define INTERVAL_DECAY 0.98 /* weight of the average so far */
+#define MIN_OBSERVED_TOKENS 4
+#define MAX_PREFIXES 256
+/* Reports over which the least foreign memory is taken. */
+#define FOREIGN_WINDOW_REPORTS 4
 #define MAX_CAPACITY_TOKENS ((int64_t)1 << 40)
-#define ABSURD_FACTOR 4
+#define MAX_USED_PER_CAPACITY 4 /* a report of more is implausible */
 #define CLOCK_RESET_US (10 * G_USEC_PER_SEC)
 
-/* A book that holds nothing. step_us: the interval to start from. */
+/*
+ * Creates a book without calls; the caller frees it with
+ * endpoint_book_destroy. step_us is the interval between tokens that an engine
+ * may reach; the estimates of the interval start from it.
+ */
 struct endpoint_book *endpoint_book_create(const char *address, int64_t step_us,
 					   int64_t now_us)
 {
@@ -34,7 +43,7 @@
 	return book;
 }
 
-/* Frees the book, not the calls in it; NULL is allowed. */
+/* Frees the book but not its calls; NULL is allowed. */
 void endpoint_book_destroy(struct endpoint_book *book)
 {
 	if (!book)
@@ -47,32 +56,35 @@
 }
 
 /*
- * Tokens a call has made by now. Progress comes late; between two reports the
- * engine went on, and a book without that would be short by its whole batch.
+ * Estimates the output tokens of a call at now_us from its last progress and
+ * the interval between tokens. The engine generates further tokens between two
+ * progress messages; without them the book would be too low by that growth for
+ * every call of the batch. Returns 0 before the first output.
  */
-int64_t endpoint_book_made(const struct endpoint_book *book,
-			   const struct placed_call *call, int64_t now_us)
+int64_t endpoint_book_estimate_tokens(const struct endpoint_book *book,
+				      const struct placed_call *call,
+				      int64_t now_us)
 {
-	int64_t since;
+	int64_t projected;
 
 	if (call->made <= 0)
 		return 0;
-	since = (int64_t)((double)(now_us - call->progress_us) /
-			  book->interval_us);
-	return call->made + CLAMP(since, 0, PROJECT_MAX_TOKENS);
+	projected = (int64_t)((double)(now_us - call->progress_us) /
+			      book->interval_us);
+	return call->made + CLAMP(projected, 0, MAX_PROJECTED_TOKENS);
 }
 
-static void endpoint_book_fill(const struct endpoint_book *book,
-			       struct placed_call *call, int64_t now_us)
+static void endpoint_book_fill_demand(const struct endpoint_book *book,
+				      struct placed_call *call, int64_t now_us)
 {
-	call->demand_made = endpoint_book_made(book, call, now_us);
+	call->demand_made = endpoint_book_estimate_tokens(book, call, now_us);
 	call->demand_us = now_us;
 	admission_demand_fill(&call->demand, length_class_curve(call->cls),
 			      call->prompt_tokens, call->demand_made,
 			      call->max_tokens);
 }
 
-/* Books a call; its demand must be filled. */
+/* Adds a call, which stays the caller's; its demand must be filled. */
 void endpoint_book_add(struct endpoint_book *book, struct placed_call *call,
 		       int64_t now_us)
 {
@@ -87,7 +99,7 @@
 	admission_load_add(&book->load, &call->demand);
 }
 
-/* Takes a call out. */
+/* Removes a call without freeing it. */
 void endpoint_book_remove(struct endpoint_book *book, struct placed_call *call)
 {
 	if (call->made == 0)
@@ -97,19 +109,19 @@
 	call->book = NULL;
 }
 
-static void endpoint_book_observe(struct endpoint_book *book, int64_t tokens,
-				  int64_t elapsed_us)
+static void endpoint_book_observe_interval(struct endpoint_book *book,
+					   int64_t tokens, int64_t elapsed_us)
 {
-	if (tokens < OBSERVED_TOKENS)
+	if (tokens < MIN_OBSERVED_TOKENS)
 		return;
 	pace_observe(&book->pace, (int32_t)book->calls->len * book->sharers,
 		     tokens, elapsed_us);
 	book->interval_us =
-		book->interval_us * INTERVAL_FADE +
-		(double)elapsed_us / (double)tokens * (1 - INTERVAL_FADE);
+		book->interval_us * INTERVAL_DECAY +
+		(double)elapsed_us / (double)tokens * (1 - INTERVAL_DECAY);
 }
 
-/* Notes tokens of a call of this book; fewer than known are ignored. */
+/* Records the output tokens of a call, unless more are already known. */
 void endpoint_book_progress(struct endpoint_book *book,
 			    struct placed_call *call, int64_t tokens,
 			    int64_t now_us)
@@ -119,43 +131,45 @@
 	if (call->made == 0)
 		book->unread_tokens -= call->prompt_tokens;
 	else
-		endpoint_book_observe(book, tokens - call->made,
-				      now_us - call->progress_us);
+		endpoint_book_observe_interval(book, tokens - call->made,
+					       now_us - call->progress_us);
 	call->made = tokens;
 	call->progress_us = now_us;
 	book->progress_us = now_us;
 }
 
-static bool placed_call_is_stale(const struct endpoint_book *book,
-				 const struct placed_call *call, int64_t now_us)
+static bool placed_call_demand_is_stale(const struct endpoint_book *book,
+					const struct placed_call *call,
+					int64_t now_us)
 {
-	int64_t made = endpoint_book_made(book, call, now_us);
+	int64_t made = endpoint_book_estimate_tokens(book, call, now_us);
 
 	return made - call->demand_made >
-		       GROWTH_TOKENS + made / GROWTH_DIVISOR ||
+		       REFILL_GROWTH_TOKENS + made / REFILL_GROWTH_DIVISOR ||
 	       now_us - call->demand_us > DEMAND_REFRESH_US;
 }
 
 /*
- * Brings the sums up to date. Summed anew each time, so that rounding does
- * not gather over the life of a home.
+ * Updates stale demands and sums all demands again, at most once every
+ * SUMS_REFRESH_US. Sums are computed from zero each time, so that rounding
+ * errors do not accumulate over the life of a home.
  */
 void endpoint_book_refresh(struct endpoint_book *book, int64_t now_us)
 {
-	if (now_us - book->refreshed_us < REFRESH_US)
+	if (now_us - book->refreshed_us < SUMS_REFRESH_US)
 		return;
 	book->refreshed_us = now_us;
 	book->load = (struct admission_load){0};
 	for (guint i = 0; i < book->calls->len; i++) {
 		struct placed_call *call = g_ptr_array_index(book->calls, i);
 
-		if (placed_call_is_stale(book, call, now_us))
-			endpoint_book_fill(book, call, now_us);
+		if (placed_call_demand_is_stale(book, call, now_us))
+			endpoint_book_fill_demand(book, call, now_us);
 		admission_load_add(&book->load, &call->demand);
 	}
 }
 
-/* The most memory it will need with one call more, in tokens. */
+/* Returns the peak memory expected with one more call, in tokens. */
 double endpoint_book_peak(const struct endpoint_book *book,
 			  const struct placed_call *extra,
 			  const struct admission_margin *margin)
@@ -164,8 +178,8 @@
 	       (double)book->foreign_tokens;
 }
 
-static void known_add(GArray *known, const struct placed_call *call,
-		      int64_t made)
+static void admission_known_append(GArray *known,
+				   const struct placed_call *call, int64_t made)
 {
 	struct admission_known item = {
 		.held = call->prompt_tokens + made,
@@ -175,7 +189,7 @@
 	g_array_append_val(known, item);
 }
 
-/* The same where true lengths are known. */
+/* Returns the peak memory with one more call from true lengths, in tokens. */
 double endpoint_book_known_peak(const struct endpoint_book *book,
 				const struct placed_call *extra, int64_t now_us)
 {
@@ -183,66 +197,72 @@
 		g_array_new(FALSE, FALSE, sizeof(struct admission_known));
 	double peak;
 
-	known_add(known, extra, 0);
+	admission_known_append(known, extra, 0);
 	for (guint i = 0; i < book->calls->len; i++) {
 		const struct placed_call *call =
 			g_ptr_array_index(book->calls, i);
 
-		known_add(known, call, endpoint_book_made(book, call, now_us));
+		admission_known_append(
+			known, call,
+			endpoint_book_estimate_tokens(book, call, now_us));
 	}
 	peak = admission_known_peak(known);
 	g_array_unref(known);
 	return peak;
 }
 
-static bool load_report_is_absurd(const struct endpoint_book *book,
-				  const struct load_report *report)
+static bool load_report_is_implausible(const struct endpoint_book *book,
+				       const struct load_report *report)
 {
-	int64_t most = book->capacity_tokens > 0
-			       ? ABSURD_FACTOR * book->capacity_tokens
-			       : MAX_CAPACITY_TOKENS;
+	int64_t max_used =
+		book->capacity_tokens > 0
+			? MAX_USED_PER_CAPACITY * book->capacity_tokens
+			: MAX_CAPACITY_TOKENS;
 
 	return report->running < -1 || report->waiting < -1 ||
-	       report->tokens_used < -1 || report->tokens_used > most ||
+	       report->tokens_used < -1 || report->tokens_used > max_used ||
 	       report->tokens_capacity < -1 ||
 	       report->tokens_capacity > MAX_CAPACITY_TOKENS ||
 	       report->preemptions_total < -1;
 }
 
 /*
- * Memory held for others: by a second home, or by nodes on their shares. A
- * report is older than the book, so one that shows more than the book may
- * only show what has just ended; the least of several is what stays. Where
- * nodes share on purpose, each has its part of the capacity already.
+ * Estimates the memory held for calls that this book does not hold: calls
+ * granted by a second home, or sent by nodes on their local shares. A report
+ * is older than the book, so that an excess over the book may belong to calls
+ * that have just ended; the least excess of several reports is taken. Nothing
+ * is estimated where the placement divides the capacity among several nodes,
+ * since each of them has only its part of it.
  */
-static void endpoint_book_learn_foreign(struct endpoint_book *book,
-					int64_t tokens_used)
+static void endpoint_book_estimate_foreign(struct endpoint_book *book,
+					   int64_t tokens_used)
 {
-	int64_t more = tokens_used - (int64_t)book->load.mean[0];
+	int64_t excess = tokens_used - (int64_t)book->load.mean[0];
 
 	if (tokens_used < 0 || book->sharers > 1)
 		return;
 	if (book->foreign_reports == 0)
-		book->foreign_low = more;
-	book->foreign_low = MIN(book->foreign_low, more);
-	if (++book->foreign_reports < FOREIGN_REPORTS)
+		book->foreign_min = excess;
+	book->foreign_min = MIN(book->foreign_min, excess);
+	if (++book->foreign_reports < FOREIGN_WINDOW_REPORTS)
 		return;
 	book->foreign_reports = 0;
-	book->foreign_tokens = MAX(book->foreign_low, 0);
+	book->foreign_tokens = MAX(book->foreign_min, 0);
 }
 
 /*
- * Takes an endpoint's report, if it is newer than the last and not absurd.
- * preempted gets the preemptions since the last report. An order that goes
- * back by itself for long is a restarted endpoint's new clock, not an old
- * report, and is taken.
+ * Accepts a load report of the endpoint if it is plausible and newer than the
+ * last one. Sets preempted to the preemptions since the last accepted report.
+ * A report with an older time is accepted as well when none was accepted for
+ * CLOCK_RESET_US: the endpoint has then restarted with a new clock, and the
+ * report is not an old one.
  */
 enum report_verdict endpoint_book_report(struct endpoint_book *book,
 					 const struct load_report *report,
 					 int64_t now_us, int64_t *preempted)
 {
 	*preempted = 0;
-	if (load_report_is_absurd(book, report))
+	if (load_report_is_implausible(book, report))
 		return REPORT_ABSURD;
 	if (book->report_us > 0 &&
 	    report->reported_at_us <= book->report.reported_at_us &&
@@ -257,11 +277,11 @@
 	book->reported_leaving = report->leaving;
 	book->report = *report;
 	book->report_us = now_us;
-	endpoint_book_learn_foreign(book, report->tokens_used);
+	endpoint_book_estimate_foreign(book, report->tokens_used);
 	return REPORT_TAKEN;
 }
 
-static void endpoint_book_forget_prefix(struct endpoint_book *book)
+static void endpoint_book_evict_prefix(struct endpoint_book *book)
 {
 	uint64_t *oldest = g_queue_pop_head(&book->prefix_order);
 
@@ -269,20 +289,24 @@
 	g_free(oldest);
 }
 
-/* Notes that a prefix is cached there, or no longer; bounded, oldest first. */
+/*
+ * Records that a prefix is cached at the endpoint, or no longer. At most
+ * MAX_PREFIXES are kept; the one recorded longest ago is evicted first. A
+ * prefix_hash of 0 means no prefix and is ignored.
+ */
 void endpoint_book_prefix(struct endpoint_book *book, uint64_t prefix_hash,
 			  bool cached)
 {
 	GList *link = g_hash_table_lookup(book->prefixes, &prefix_hash);
-	uint64_t *kept;
+	uint64_t *stored;
 
 	if (prefix_hash == 0)
 		return;
 	if (link && !cached) {
-		kept = link->data;
-		g_hash_table_remove(book->prefixes, kept);
+		stored = link->data;
+		g_hash_table_remove(book->prefixes, stored);
 		g_queue_delete_link(&book->prefix_order, link);
-		g_free(kept);
+		g_free(stored);
 		return;
 	}
 	if (!cached)
@@ -292,15 +316,15 @@
 		g_queue_push_tail_link(&book->prefix_order, link);
 		return;
 	}
-	if (g_queue_get_length(&book->prefix_order) >= PREFIXES)
-		endpoint_book_forget_prefix(book);
-	kept = g_new(uint64_t, 1);
-	*kept = prefix_hash;
-	g_queue_push_tail(&book->prefix_order, kept);
-	g_hash_table_insert(book->prefixes, kept, book->prefix_order.tail);
+	if (g_queue_get_length(&book->prefix_order) >= MAX_PREFIXES)
+		endpoint_book_evict_prefix(book);
+	stored = g_new(uint64_t, 1);
+	*stored = prefix_hash;
+	g_queue_push_tail(&book->prefix_order, stored);
+	g_hash_table_insert(book->prefixes, stored, book->prefix_order.tail);
 }
 
-/* Whether a prefix is believed to be cached there. */
+/* Whether a prefix is recorded as cached at the endpoint. */
 bool endpoint_book_has_prefix(const struct endpoint_book *book,
 			      uint64_t prefix_hash)
 {
--- a/core/placement/endpoint_book.h
+++ b/core/placement/endpoint_book.h
@@ -15,15 +15,16 @@
 G_BEGIN_DECLS
 
 /*
- * What one endpoint holds by the grants given for it, what that will need,
- * and what it says of itself. Its word counts only where it is worse than the
- * book: a report is late, and may be wrong.
+ * The state of one endpoint in a placement: the calls granted to it, the
+ * memory they are expected to need, its health and its last load report. A
+ * report counts only where it shows more load than the book, because it
+ * arrives late and may be wrong.
  */
 struct endpoint_book;
 
 /* A request known to a placement: waiting, or placed on an endpoint. */
 struct placed_call {
-	struct queue_entry entry; /* first: the queue hands it back */
+	struct queue_entry entry; /* first: the queue returns it */
 	uint64_t ticket;
 	int64_t prompt_tokens;
 	int64_t max_tokens;
@@ -35,13 +36,13 @@
 
 	struct endpoint_book *book; /* NULL while it waits */
 	int64_t placed_us;
-	int64_t made;	 /* tokens, as last reported */
-	int64_t counted; /* of them in the length estimate */
+	int64_t made;	 /* output tokens at the last progress */
+	int64_t counted; /* tokens in the length estimate */
 	int64_t progress_us;
-	double charged; /* tokens its organisation was charged */
+	double charged; /* tokens charged to its organisation */
 	struct admission_demand demand;
-	int64_t demand_made;
-	int64_t demand_us;
+	int64_t demand_made; /* output tokens when demand was filled */
+	int64_t demand_us;   /* when demand was filled */
 };
 
 struct endpoint_book {
@@ -50,26 +51,27 @@
 	int64_t capacity_tokens;
 	bool capacity_configured;
 	int32_t slots;
-	int32_t sharers; /* nodes that each hold as much there */
+	int32_t sharers; /* nodes assumed to hold as many calls there */
 	bool leaving;
 	bool reported_leaving;
 	GPtrArray *calls; /* struct placed_call */
 	struct admission_load load;
 	int64_t refreshed_us;
-	int64_t unread_tokens;	/* prompts placed that made nothing yet */
-	int64_t foreign_tokens; /* held for others, by its reports */
-	int64_t foreign_low;
-	int32_t foreign_reports;
+	int64_t unread_tokens;	 /* prompt tokens of calls without output */
+	int64_t foreign_tokens;	 /* held for other nodes, from its reports */
+	int64_t foreign_min;	 /* least in this window of reports */
+	int32_t foreign_reports; /* in this window */
 	struct pace pace;
-	double interval_us;  /* between tokens, lately */
-	int64_t progress_us; /* last sign of any tokens */
+	double interval_us;  /* between tokens, decaying average */
+	int64_t progress_us; /* last new token of any call */
 	struct endpoint_health health;
-	struct load_report report; /* last one taken */
-	int64_t report_us;	   /* when it came; 0: never */
-	GHashTable *prefixes;	   /* hashes that may be cached */
-	GQueue prefix_order;
+	struct load_report report; /* last one accepted */
+	int64_t report_us;	   /* when it arrived; 0: never */
+	GHashTable *prefixes;	   /* hash -> link in prefix_order */
+	GQueue prefix_order;	   /* hashes, least recently set first */
 };
 
+/* What was done with a load report. */
 enum report_verdict { REPORT_TAKEN, REPORT_OLDER, REPORT_ABSURD };
 
 struct endpoint_book *endpoint_book_create(const char *address, int64_t step_us,
@@ -95,8 +97,9 @@
 			  bool cached);
 bool endpoint_book_has_prefix(const struct endpoint_book *book,
 			      uint64_t prefix_hash);
-int64_t endpoint_book_made(const struct endpoint_book *book,
-			   const struct placed_call *call, int64_t now_us);
+int64_t endpoint_book_estimate_tokens(const struct endpoint_book *book,
+				      const struct placed_call *call,
+				      int64_t now_us);
 
 G_END_DECLS
 
--- a/core/placement/endpoint_health.c
+++ b/core/placement/endpoint_health.c
@@ -2,114 +2,125 @@
 
 #include <math.h>
 
-#define FADE 0.8
-#define FADED 0.05
-#define HALF_LIFE_US (5.0 * G_USEC_PER_SEC)
-#define FAILURES_ASIDE 1.5 /* a second one before the first has faded */
+#define FAILURE_DECAY 0.8 /* factor on the count at each success */
+#define MIN_FAILURES 0.05 /* a lower count becomes 0 */
+#define FAILURE_HALF_LIFE_US (5.0 * G_USEC_PER_SEC)
+#define ASIDE_FAILURES 1.5 /* a second failure before the first decayed */
 #define FIRST_ASIDE_US (2 * G_USEC_PER_SEC)
-#define LONGEST_ASIDE_US (60 * G_USEC_PER_SEC)
-#define RELAPSE_US (30 * G_USEC_PER_SEC)
-#define FULL_TRIAL 32
-#define LOST_POLLS 2
+#define MAX_ASIDE_US (60 * G_USEC_PER_SEC)
+#define RELAPSE_WINDOW_US (30 * G_USEC_PER_SEC) /* after the return */
+#define LAST_TRIAL_SIZE 32
+#define UNREACHABLE_POLLS 2
 
-/* An endpoint of which nothing bad is known. */
+/* Sets the state of an endpoint without failures. */
 void endpoint_health_init(struct endpoint_health *health)
 {
-	*health = (struct endpoint_health){.aside_us = FIRST_ASIDE_US};
+	*health = (struct endpoint_health){.next_aside_us = FIRST_ASIDE_US};
 }
 
-/* Counts a failed request; true: the endpoint ought to be put aside. */
+/* Counts a failed request; returns true if the endpoint is to be put aside. */
 bool endpoint_health_report_failure(struct endpoint_health *health)
 {
 	health->failures += 1;
 	return health->state == HEALTH_RETURNING ||
 	       (health->state == HEALTH_GOOD &&
-		health->failures >= FAILURES_ASIDE);
+		health->failures >= ASIDE_FAILURES);
 }
 
-/* Counts a sign of life: an answer, or more tokens of a running one. */
+/*
+ * Counts an answer, or further tokens of a running one. Once every request of a
+ * round is placed, this starts the next round or ends the return.
+ */
 void endpoint_health_report_success(struct endpoint_health *health,
 				    int64_t now_us)
 {
-	health->failures *= FADE;
+	health->failures *= FAILURE_DECAY;
 	if (health->state != HEALTH_RETURNING || health->trial_left > 0)
 		return;
-	if (health->trial >= FULL_TRIAL) {
+	if (health->trial_size >= LAST_TRIAL_SIZE) {
 		health->state = HEALTH_GOOD;
-		health->relapse_before_us = now_us + RELAPSE_US;
+		health->relapse_before_us = now_us + RELAPSE_WINDOW_US;
 		return;
 	}
-	health->trial *= 2;
-	health->trial_left = health->trial;
+	health->trial_size *= 2;
+	health->trial_left = health->trial_size;
 }
 
-static void endpoint_health_return(struct endpoint_health *health)
+static void endpoint_health_start_return(struct endpoint_health *health)
 {
 	health->state = HEALTH_RETURNING;
-	health->trial = 1;
+	health->trial_size = 1;
 	health->trial_left = 1;
 	health->failures = 0;
 }
 
 /*
- * Counts whether the endpoint answered a poll of its load. One that is
- * reached again after it was lost starts over gently: it may be a new process
- * with an empty cache, and all that waits would rush to it.
+ * Counts whether the endpoint answered a poll of its load. An endpoint that
+ * answers again after it was unreachable returns in rounds: it may be a new
+ * process with an empty cache, and all waiting requests would go to it at
+ * once.
  */
 void endpoint_health_report_poll(struct endpoint_health *health, bool reached,
 				 int64_t now_us)
 {
-	bool was_lost = endpoint_health_is_unreachable(health);
+	bool was_unreachable = endpoint_health_is_unreachable(health);
 
-	health->polls_lost = reached ? 0 : MIN(health->polls_lost + 1, 1000);
-	if (reached && was_lost &&
+	health->unanswered_polls =
+		reached ? 0 : MIN(health->unanswered_polls + 1, 1000);
+	if (reached && was_unreachable &&
 	    (health->state != HEALTH_ASIDE || now_us < health->until_us))
-		endpoint_health_return(health);
+		endpoint_health_start_return(health);
 }
 
-/* No new work for a while: twice as long as the last time if that was near. */
+/*
+ * Puts the endpoint aside, first for FIRST_ASIDE_US. The time doubles, up to
+ * MAX_ASIDE_US, if this happens during the return or within RELAPSE_WINDOW_US
+ * after it.
+ */
 void endpoint_health_put_aside(struct endpoint_health *health, int64_t now_us)
 {
 	if (health->state == HEALTH_GOOD && now_us > health->relapse_before_us)
-		health->aside_us = FIRST_ASIDE_US;
+		health->next_aside_us = FIRST_ASIDE_US;
 	health->state = HEALTH_ASIDE;
-	health->until_us = now_us + health->aside_us;
-	health->aside_us = MIN(2 * health->aside_us, LONGEST_ASIDE_US);
+	health->until_us = now_us + health->next_aside_us;
+	health->next_aside_us = MIN(2 * health->next_aside_us, MAX_ASIDE_US);
 }
 
 /*
- * Starts the return when the time aside is over. Failures fade with time as
- * well: an endpoint that is avoided for them gets no chance to succeed.
+ * Starts the return when the time aside is over. The count of failures also
+ * decays with time, because an endpoint that is avoided for its failures gets
+ * no request that could succeed.
  */
 void endpoint_health_step(struct endpoint_health *health, int64_t now_us)
 {
-	health->failures *=
-		exp2(-(double)(now_us - health->faded_us) / HALF_LIFE_US);
-	if (health->failures < FADED)
+	health->failures *= exp2(-(double)(now_us - health->decayed_us) /
+				 FAILURE_HALF_LIFE_US);
+	if (health->failures < MIN_FAILURES)
 		health->failures = 0;
-	health->faded_us = now_us;
+	health->decayed_us = now_us;
 	if (health->state == HEALTH_ASIDE && now_us >= health->until_us)
-		endpoint_health_return(health);
+		endpoint_health_start_return(health);
 }
 
-/* No answer to several polls in a row. */
+/* Whether the endpoint left several consecutive polls unanswered. */
 bool endpoint_health_is_unreachable(const struct endpoint_health *health)
 {
-	return health->polls_lost >= LOST_POLLS;
+	return health->unanswered_polls >= UNREACHABLE_POLLS;
 }
 
 /*
- * Nothing is left at the endpoint and the round is used up: its requests ended
- * by their callers' doing and told nothing. Without another round the endpoint
- * would never get work again, and its callers would wait for ever.
+ * Called when no request is left at the endpoint. If all requests of a round
+ * ended because their callers cancelled them, they count neither as successes
+ * nor as failures; the round is then repeated. Otherwise the endpoint would
+ * never get a request again, and its callers would wait for ever.
  */
 void endpoint_health_report_idle(struct endpoint_health *health)
 {
 	if (health->state == HEALTH_RETURNING && health->trial_left == 0)
-		health->trial_left = health->trial;
+		health->trial_left = health->trial_size;
 }
 
-/* Whether one request more may go there now. */
+/* Whether the endpoint may get one more request now. */
 bool endpoint_health_allows(const struct endpoint_health *health)
 {
 	switch (health->state) {
@@ -123,14 +134,14 @@
 	return false;
 }
 
-/* Counts a request that was placed there. */
+/* Counts a request that was placed on the endpoint. */
 void endpoint_health_count_placed(struct endpoint_health *health)
 {
 	if (health->state == HEALTH_RETURNING && health->trial_left > 0)
 		health->trial_left--;
 }
 
-/* Name of a state, for the dump. */
+/* Returns the name of a state in the dump; a static string. */
 const char *health_state_name(enum health_state state)
 {
 	switch (state) {
--- a/core/placement/endpoint_health.h
+++ b/core/placement/endpoint_health.h
@@ -8,23 +8,24 @@
 G_BEGIN_DECLS
 
 /*
- * Whether an endpoint may get new work: put aside on failures or when it is
- * far slower than the others, for a time that doubles with each relapse, then
- * brought back a few requests at a time. How many may be aside at once is the
- * caller's to bound.
+ * Whether an endpoint may get new requests. An endpoint that fails, or is far
+ * slower than the others, is put aside for a time that doubles with each
+ * relapse. It then returns in rounds of trial requests, each round twice the
+ * size of the one before. The caller limits how many endpoints are aside at
+ * once.
  */
 enum health_state { HEALTH_GOOD, HEALTH_ASIDE, HEALTH_RETURNING };
 
 struct endpoint_health {
 	enum health_state state;
-	double failures;  /* fading count */
-	int64_t faded_us; /* until when it has faded */
-	int64_t until_us;
-	int64_t aside_us; /* for how long next time */
-	int64_t relapse_before_us;
-	int32_t trial;	    /* requests in this round of the return */
-	int32_t trial_left; /* of them not yet placed */
-	int32_t polls_lost; /* in a row */
+	double failures;	   /* decaying count */
+	int64_t decayed_us;	   /* when failures last decayed */
+	int64_t until_us;	   /* end of the time aside */
+	int64_t next_aside_us;	   /* duration of the next time aside */
+	int64_t relapse_before_us; /* put aside before this: a relapse */
+	int32_t trial_size;	   /* requests in this round */
+	int32_t trial_left;	   /* requests of this round not yet placed */
+	int32_t unanswered_polls;  /* consecutive */
 };
 
 void endpoint_health_init(struct endpoint_health *health);
--- a/core/placement/home.c
+++ b/core/placement/home.c
@@ -5,14 +5,16 @@
 #define FNV_OFFSET 14695981039346656037ull
 #define FNV_PRIME 1099511628211ull
 
-static uint64_t hash_text(uint64_t hash, const char *text)
+static uint64_t hash_add_text(uint64_t hash, const char *text)
 {
 	for (; *text; text++)
 		hash = (hash ^ (unsigned char)*text) * FNV_PRIME;
 	return (hash ^ 0xff) * FNV_PRIME;
 }
 
-/* FNV-1a alone keeps the order of similar names; this spreads its bits. */
+/*
+ * Mixes the bits of a hash: FNV-1a alone keeps similar names in their order.
+ */
 static uint64_t hash_finish(uint64_t hash)
 {
 	hash ^= hash >> 33;
@@ -22,15 +24,15 @@
 	return hash ^ (hash >> 33);
 }
 
-/* A 64-bit hash of two texts and a number, the same on every node. */
+/* Returns a 64-bit hash of two strings and a number, equal on every node. */
 uint64_t home_hash(const char *a, const char *b, uint64_t c)
 {
-	uint64_t hash = hash_text(hash_text(FNV_OFFSET, a), b);
+	uint64_t hash = hash_add_text(hash_add_text(FNV_OFFSET, a), b);
 
 	return hash_finish(hash ^ (c * FNV_PRIME));
 }
 
-/* How many shards a service of so many endpoints has; at least one. */
+/* Returns the number of shards for a number of endpoints; at least one. */
 uint32_t home_shard_count(uint32_t endpoint_count, int32_t endpoints_per_shard)
 {
 	uint32_t size = (uint32_t)MAX(endpoints_per_shard, 1);
@@ -38,7 +40,7 @@
 	return MAX((endpoint_count + size - 1) / size, 1);
 }
 
-/* The shard an endpoint belongs to. */
+/* Returns the shard of an endpoint address. */
 uint32_t home_shard_of(const char *endpoint, uint32_t shard_count)
 {
 	return (uint32_t)(home_hash(endpoint, "", 0) % shard_count);
@@ -51,9 +53,9 @@
 	return !region || strcmp(member->region, region) == 0;
 }
 
-static const struct member *home_best(const struct membership *membership,
-				      const char *region, const char *service,
-				      uint32_t shard)
+static const struct member *
+home_find_highest(const struct membership *membership, const char *region,
+		  const char *service, uint32_t shard)
 {
 	const struct member *best = NULL;
 	uint64_t best_hash = 0;
@@ -74,16 +76,18 @@
 }
 
 /*
- * The home of a shard: a live node of the region, else of any region. A
- * suspected node stays home until it is known to be gone, so that one lost
- * probe moves no shard. NULL when no node is eligible.
+ * Returns the home of a shard: a live or suspected node of the region, or of
+ * any region if this one has none. A suspected node stays home until it is
+ * known to be gone, so that one lost probe moves no shard. Returns NULL when
+ * no node is eligible; the member belongs to the membership.
  */
 const struct member *home_find(const struct membership *membership,
 			       const char *region, const char *service,
 			       uint32_t shard)
 {
 	const struct member *best =
-		home_best(membership, region, service, shard);
+		home_find_highest(membership, region, service, shard);
 
-	return best ? best : home_best(membership, NULL, service, shard);
+	return best ? best
+		    : home_find_highest(membership, NULL, service, shard);
 }
--- a/core/placement/home.h
+++ b/core/placement/home.h
@@ -9,9 +9,10 @@
 G_BEGIN_DECLS
 
 /*
- * Which node is home of a shard. Engines of a service in a region are split
- * into shards of bounded size; the home of each is chosen by rendezvous
- * hashing, so a node that comes or goes moves only its own share of shards.
+ * Finds the node that is the home of a shard. The engines of a service in a
+ * region are split into shards of bounded size. Rendezvous hashing maps each
+ * shard to its home, so that a node that joins or leaves moves only the shards
+ * that it gains or loses.
  */
 
 uint64_t home_hash(const char *a, const char *b, uint64_t c);
--- a/core/placement/length_estimate.c
+++ b/core/placement/length_estimate.c
@@ -1,20 +1,21 @@
 #include "core/placement/length_estimate.h"
 
-/* One bin a token up to here, then four an octave. */
-#define SINGLE_BINS 8
+/* One bin per token below this length, then four per octave. */
+#define SINGLE_TOKEN_BINS 8
 #define BINS_PER_OCTAVE 4
-#define PROMPT_SIZES 20
+#define PROMPT_SIZES 20 /* one per octave */
 /*
- * Before anything is known: few end at once, more with each doubling. With a
- * hazard that stays the same per doubling what is left would grow without
- * end, and a new home would take the engines it knows nothing of for full.
+ * Hazards before any answer is observed: low for short answers, and higher
+ * with each doubling of the length. With the same hazard at each doubling the
+ * expected remaining length would grow without bound, and a new home would
+ * treat engines that it knows nothing about as full.
  */
-#define PRIOR_HAZARD_SINGLE 0.01
-#define PRIOR_HAZARD_RISE 0.012 /* with each bin after those */
-#define PRIOR_HAZARD_MOST 0.5
-#define PRIOR_WEIGHT 4
-#define KNOWN_ANSWERS 4
-#define REBUILD_AFTER 16 /* observations */
+#define PRIOR_HAZARD_START 0.01
+#define PRIOR_HAZARD_STEP 0.012 /* per bin after the single-token bins */
+#define PRIOR_HAZARD_MAX 0.5
+#define PRIOR_WEIGHT_ANSWERS 4
+#define CONFIDENCE_ANSWERS 4 /* for a confidence of one half */
+#define REBUILD_OBSERVATIONS 16
 #define HAZARD_MAX 0.999
 #define SURVIVAL_MIN 1e-12F
 
@@ -25,9 +26,9 @@
 	float ended[LENGTH_BINS];
 	struct length_curve curve;
 	uint64_t curve_version;
-	char *key;     /* NULL: one of the estimate's own */
-	int32_t users; /* calls and children */
-	GList unused;  /* in the estimate's queue while nobody uses it */
+	char *key;    /* NULL: root or prompt size, never evicted */
+	int32_t refs; /* calls and child classes */
+	GList unused; /* link in the estimate's queue while refs is 0 */
 };
 
 struct length_estimate {
@@ -35,13 +36,13 @@
 	struct length_class root;
 	struct length_class prompt_sizes[PROMPT_SIZES];
 	GHashTable *classes; /* key -> struct length_class */
-	GQueue unused;	     /* struct length_class, longest unused first */
-	uint64_t version;    /* observations so far */
+	GQueue unused;	  /* struct length_class, least recently used first */
+	uint64_t version; /* observations so far */
 	double shift_ended;
 	double shift_expected;
 };
 
-/* Memories chosen on the policy bench, see docs/POLICY.md. */
+/* Sets the default options; docs/POLICY.md explains the memories. */
 void length_estimate_options_default(struct length_estimate_options *options)
 {
 	options->memory = 64;
@@ -59,12 +60,12 @@
 {
 	int32_t octave;
 
-	if (n < SINGLE_BINS)
+	if (n < SINGLE_TOKEN_BINS)
 		return (int32_t)MAX(n, 0);
 	if (n > LENGTH_LONGEST)
 		return LENGTH_BINS - 1;
 	octave = floor_log2(n);
-	return SINGLE_BINS + (octave - 3) * BINS_PER_OCTAVE +
+	return SINGLE_TOKEN_BINS + (octave - 3) * BINS_PER_OCTAVE +
 	       (int32_t)((n >> (octave - 2)) & 3);
 }
 
@@ -72,10 +73,10 @@
 {
 	int32_t octave;
 
-	if (bin < SINGLE_BINS)
+	if (bin < SINGLE_TOKEN_BINS)
 		return bin;
-	octave = 3 + (bin - SINGLE_BINS) / BINS_PER_OCTAVE;
-	return (int64_t)(4 + (bin - SINGLE_BINS) % BINS_PER_OCTAVE)
+	octave = 3 + (bin - SINGLE_TOKEN_BINS) / BINS_PER_OCTAVE;
+	return (int64_t)(4 + (bin - SINGLE_TOKEN_BINS) % BINS_PER_OCTAVE)
 	       << (octave - 2);
 }
 
@@ -97,7 +98,10 @@
 	g_free(cls);
 }
 
-/* An estimate that knows nothing yet. The options are copied. */
+/*
+ * Creates an estimate without observations. The options are copied. The caller
+ * frees it with length_estimate_destroy.
+ */
 struct length_estimate *
 length_estimate_create(const struct length_estimate_options *options)
 {
@@ -123,24 +127,27 @@
 	g_free(estimate);
 }
 
-static struct length_class *length_class_use(struct length_class *cls)
+static struct length_class *length_class_ref(struct length_class *cls)
 {
-	if (cls->key && cls->users == 0)
+	if (cls->key && cls->refs == 0)
 		g_queue_unlink(&cls->estimate->unused, &cls->unused);
-	cls->users++;
+	cls->refs++;
 	return cls;
 }
 
-/* Gives a class back. What it learned is kept until its place is needed. */
+/*
+ * Releases a reference to a class. Its counts are kept until the class is
+ * evicted for a new one.
+ */
 void length_class_unref(struct length_class *cls)
 {
-	if (--cls->users == 0 && cls->key)
+	if (--cls->refs == 0 && cls->key)
 		g_queue_push_tail_link(&cls->estimate->unused, &cls->unused);
 }
 
 /*
- * Makes room for one class more: callers choose their prompts, so that the
- * number of classes would be theirs to grow.
+ * Evicts unused classes until one more fits. Without a limit, callers could
+ * grow the table at will, since they determine the prompts.
  */
 static void length_estimate_evict(struct length_estimate *estimate)
 {
@@ -158,27 +165,27 @@
 }
 
 static struct length_class *
-length_estimate_get(struct length_estimate *estimate, const char *key,
-		    struct length_class *parent)
+length_estimate_find_or_add(struct length_estimate *estimate, const char *key,
+			    struct length_class *parent)
 {
 	struct length_class *cls = g_hash_table_lookup(estimate->classes, key);
 
 	if (cls)
-		return length_class_use(cls);
-	length_class_use(parent);
+		return length_class_ref(cls);
+	length_class_ref(parent);
 	length_estimate_evict(estimate);
 	cls = g_new0(struct length_class, 1);
 	length_class_init(cls, estimate, parent);
 	cls->key = g_strdup(key);
-	cls->users = 1;
+	cls->refs = 1;
 	g_hash_table_insert(estimate->classes, cls->key, cls);
 	return cls;
 }
 
 /*
- * The class of an organisation's prompts of this size, by octaves, and, where
- * there is a prefix, of its prompts that begin with it. To be given back with
- * length_class_unref.
+ * Returns the class of an organisation's prompts that begin with the prefix,
+ * or, if prefix_hash is 0, of its prompts in the same octave of prompt tokens.
+ * The caller releases it with length_class_unref.
  */
 struct length_class *length_estimate_class(struct length_estimate *estimate,
 					   const char *organisation,
@@ -191,24 +198,27 @@
 	char key[160];
 
 	g_snprintf(key, sizeof(key), "%d/%s", size, organisation);
-	by_size = length_estimate_get(estimate, key,
-				      &estimate->prompt_sizes[size]);
+	by_size = length_estimate_find_or_add(estimate, key,
+					      &estimate->prompt_sizes[size]);
 	if (!prefix_hash)
 		return by_size;
 	g_snprintf(key, sizeof(key), "p%" G_GINT64_MODIFIER "x/%s", prefix_hash,
 		   organisation);
-	cls = length_estimate_get(estimate, key, by_size);
+	cls = length_estimate_find_or_add(estimate, key, by_size);
 	length_class_unref(by_size);
 	return cls;
 }
 
-/* Classes kept, for the dump. */
+/* Returns the number of classes by organisation, used or unused. */
 size_t length_estimate_class_count(const struct length_estimate *estimate)
 {
 	return g_hash_table_size(estimate->classes);
 }
 
-/* Below 1: answers end later than the bins say. */
+/*
+ * Returns the ratio of the ends observed lately, in all classes, to the ends
+ * expected from the hazards. Below 1, answers end later than the bins predict.
+ */
 double length_estimate_shift(const struct length_estimate *estimate)
 {
 	double weight = estimate->options.shift_memory;
@@ -219,16 +229,16 @@
 
 static double length_prior_hazard(int32_t bin)
 {
-	if (bin < SINGLE_BINS)
-		return PRIOR_HAZARD_SINGLE;
-	return MIN(PRIOR_HAZARD_RISE * (bin - SINGLE_BINS + 1),
-		   PRIOR_HAZARD_MOST);
+	if (bin < SINGLE_TOKEN_BINS)
+		return PRIOR_HAZARD_START;
+	return MIN(PRIOR_HAZARD_STEP * (bin - SINGLE_TOKEN_BINS + 1),
+		   PRIOR_HAZARD_MAX);
 }
 
 static double length_class_hazard(const struct length_class *cls, int32_t bin)
 {
 	double hazard = length_prior_hazard(bin);
-	double weight = PRIOR_WEIGHT;
+	double weight = PRIOR_WEIGHT_ANSWERS;
 
 	if (cls->parent) {
 		hazard = length_class_hazard(cls->parent, bin);
@@ -241,42 +251,43 @@
 static void length_estimate_count_shift(struct length_estimate *estimate,
 					double expected, double ended)
 {
-	double keep =
+	double decay =
 		1 - (expected + ended) / (2 * estimate->options.shift_memory);
 
-	keep = MAX(keep, 0);
-	estimate->shift_expected = estimate->shift_expected * keep + expected;
-	estimate->shift_ended = estimate->shift_ended * keep + ended;
+	decay = MAX(decay, 0);
+	estimate->shift_expected = estimate->shift_expected * decay + expected;
+	estimate->shift_ended = estimate->shift_ended * decay + ended;
 }
 
 /*
- * How far the class is known from its own answers rather than its parents'.
- * Answers count here from their first token on.
+ * Returns how far the estimate rests on answers of the class itself rather than
+ * of its parents: 0 without any, rising towards 1. An answer counts as soon as
+ * it has passed its first token.
  */
 double length_class_known(const struct length_class *cls)
 {
-	return cls->reached[1] / (cls->reached[1] + KNOWN_ANSWERS);
+	return cls->reached[1] / (cls->reached[1] + CONFIDENCE_ANSWERS);
 }
 
 static void length_class_count_bin(struct length_class *cls, int32_t bin,
 				   bool ended)
 {
 	struct length_estimate *estimate = cls->estimate;
-	float keep = (float)(1 - 1 / estimate->options.memory);
+	float decay = (float)(1 - 1 / estimate->options.memory);
 	double hazard = length_class_hazard(cls, bin);
 
 	length_estimate_count_shift(estimate, ended ? hazard / 2 : hazard,
 				    ended ? 1 : 0);
 	for (; cls; cls = cls->parent) {
-		cls->reached[bin] = cls->reached[bin] * keep + 1;
-		cls->ended[bin] = cls->ended[bin] * keep + (ended ? 1 : 0);
+		cls->reached[bin] = cls->reached[bin] * decay + 1;
+		cls->ended[bin] = cls->ended[bin] * decay + (ended ? 1 : 0);
 	}
 	estimate->version++;
 }
 
 /*
- * Counts that a running answer went from so many tokens to so many. Each
- * token is to be counted once; a range that goes back is ignored.
+ * Counts that a running answer grew from one number of tokens to another. Each
+ * token must be counted once; a range with to below from is ignored.
  */
 void length_class_count_progress(struct length_class *cls, int64_t from,
 				 int64_t to)
@@ -287,7 +298,10 @@
 		length_class_count_bin(cls, bin, false);
 }
 
-/* Counts that an answer, last counted at from, ended by itself at length. */
+/*
+ * Counts that an answer ended by itself at this length, in tokens; from is the
+ * length up to which it was counted before.
+ */
 void length_class_count_end(struct length_class *cls, int64_t from,
 			    int64_t length)
 {
@@ -295,7 +309,7 @@
 	length_class_count_bin(cls, length_bin(MAX(from, length)), true);
 }
 
-/* A shift scales the odds of ending, so that a hazard stays under 1. */
+/* The shift scales the odds of ending, so that each hazard stays below 1. */
 static void length_class_rebuild(struct length_class *cls)
 {
 	double shift = length_estimate_shift(cls->estimate);
@@ -313,28 +327,35 @@
 	cls->curve_version = cls->estimate->version;
 }
 
-/* The chances by length; valid until the class is next asked or told. */
+/*
+ * Returns the survival curve of the class, which the class owns. It is rebuilt
+ * after REBUILD_OBSERVATIONS and is valid until the next call for this class.
+ */
 const struct length_curve *length_class_curve(struct length_class *cls)
 {
 	if (cls->curve_version == UINT64_MAX ||
-	    cls->estimate->version - cls->curve_version >= REBUILD_AFTER)
+	    cls->estimate->version - cls->curve_version >= REBUILD_OBSERVATIONS)
 		length_class_rebuild(cls);
 	return &cls->curve;
 }
 
-/* Chance that an answer gets longer than n tokens. */
+/* Returns the probability that an answer gets longer than n tokens. */
 double length_curve_survival(const struct length_curve *curve, int64_t n)
 {
 	int32_t bin = length_bin(n);
 	int64_t start = length_bin_start(bin);
 	int64_t width = length_bin_start(bin + 1) - start;
-	double part = (double)(MIN(n, LENGTH_LONGEST) - start) / (double)width;
+	double fraction =
+		(double)(MIN(n, LENGTH_LONGEST) - start) / (double)width;
 
 	return curve->survival[bin] +
-	       (curve->survival[bin + 1] - curve->survival[bin]) * part;
+	       (curve->survival[bin + 1] - curve->survival[bin]) * fraction;
 }
 
-/* Tokens still to come, on average; max_tokens 0: no bound. */
+/*
+ * Returns the mean number of tokens that follow after the first made ones.
+ * max_tokens limits the length of the answer; 0 means no limit.
+ */
 double length_curve_mean_left(const struct length_curve *curve, int64_t made,
 			      int64_t max_tokens)
 {
--- a/core/placement/length_estimate.h
+++ b/core/placement/length_estimate.h
@@ -8,27 +8,28 @@
 G_BEGIN_DECLS
 
 /*
- * How long answers get, by organisation, size of prompt and its first part,
- * which tells one template from another. Lengths fall into bins that widen
- * with the length; each bin keeps how many answers reached it and how many
- * ended in it, with old ones fading. Their ratio is the hazard of ending
- * there, and from the hazards follows the chance that an answer goes on, given
- * what it has made (Kaplan and Meier, 1958). An answer counts in each bin as
- * it passes, so what still runs is in the estimate before it ends: a longer
- * mix shows as soon as answers outlive the old one.
+ * Estimates the length of answers, in tokens, by organisation, prompt size and
+ * prompt prefix; the prefix distinguishes prompt templates. Lengths fall into
+ * bins that widen with the length. Each bin counts the answers that reached it
+ * and those that ended in it, and both counts decay. Their ratio is the hazard
+ * of ending in the bin. The hazards give the probability that an answer
+ * continues, given its length so far (Kaplan and Meier, 1958). An answer
+ * counts in each bin as it passes it, so that running answers are part of the
+ * estimate before they end: a shift to longer answers shows as soon as answers
+ * grow beyond the old lengths.
  */
 #define LENGTH_BINS 72
 #define LENGTH_LONGEST 524287
 
 struct length_estimate_options {
-	double memory;	     /* answers a bin remembers */
-	double parent;	     /* answers that the parent's hazard weighs */
-	double shift_memory; /* ends by which a shift of all is judged */
-	int32_t max_classes; /* the longest unused goes first */
+	double memory;	     /* answers over which a bin decays */
+	double parent;	     /* weight of the parent's hazard, in answers */
+	double shift_memory; /* ends over which the shift decays */
+	int32_t max_classes; /* least recently used is evicted first */
 };
 
 struct length_estimate;
-struct length_class; /* counted by reference; its estimate must outlive it */
+struct length_class; /* reference counted; its estimate must outlive it */
 
 void length_estimate_options_default(struct length_estimate_options *options);
 struct length_estimate *
@@ -40,11 +41,9 @@
 					   uint64_t prefix_hash);
 void length_class_unref(struct length_class *cls);
 
-/* From 0, nothing was seen of this class itself, towards 1. */
 double length_class_known(const struct length_class *cls);
 size_t length_estimate_class_count(const struct length_estimate *estimate);
 
-/* Factor by which all answers now end sooner or later, and its deviation. */
 double length_estimate_shift(const struct length_estimate *estimate);
 
 void length_class_count_progress(struct length_class *cls, int64_t from,
@@ -52,7 +51,7 @@
 void length_class_count_end(struct length_class *cls, int64_t from,
 			    int64_t length);
 
-/* Chance that an answer gets longer than n; declines with n. */
+/* Probability that an answer gets longer than n tokens; declines with n. */
 struct length_curve {
 	float survival[LENGTH_BINS + 1]; /* at the start of each bin */
 };
--- a/core/placement/pace.c
+++ b/core/placement/pace.c
@@ -1,7 +1,7 @@
 #include "core/placement/pace.h"
 
-#define MEMORY_TOKENS 20000.0
-#define PRIOR_TOKENS 200.0
+#define DECAY_TOKENS 20000.0 /* observed tokens until old ones count 1/e */
+#define PRIOR_TOKENS 200.0   /* weight of each of the two prior points */
 #define PRIOR_BATCH 128.0
 #define MIN_INTERVAL_US 100.0
 
@@ -15,7 +15,10 @@
 	pace->batch_interval += weight * batch * interval_us;
 }
 
-/* Starts from a third of step_us when idle and all of it at a large batch. */
+/*
+ * Starts from two points: a third of step_us at an empty batch, and step_us at
+ * PRIOR_BATCH.
+ */
 void pace_init(struct pace *pace, int64_t step_us)
 {
 	*pace = (struct pace){0};
@@ -23,27 +26,30 @@
 	pace_add(pace, PRIOR_BATCH, (double)step_us, PRIOR_TOKENS);
 }
 
-/* Counts that a stream in a batch of this size made so many tokens. */
+/*
+ * Adds an observation: a stream in a batch of this size generated this number
+ * of tokens in elapsed_us. Values that are not positive are ignored.
+ */
 void pace_observe(struct pace *pace, int32_t batch, int64_t tokens,
 		  int64_t elapsed_us)
 {
-	double keep;
+	double decay;
 
 	if (tokens <= 0 || elapsed_us <= 0 || batch <= 0)
 		return;
-	keep = MAX(1 - (double)tokens / MEMORY_TOKENS, 0.5);
-	pace->weight *= keep;
-	pace->batch *= keep;
-	pace->batch_squared *= keep;
-	pace->interval *= keep;
-	pace->batch_interval *= keep;
+	decay = MAX(1 - (double)tokens / DECAY_TOKENS, 0.5);
+	pace->weight *= decay;
+	pace->batch *= decay;
+	pace->batch_squared *= decay;
+	pace->interval *= decay;
+	pace->batch_interval *= decay;
 	pace_add(pace, batch, (double)elapsed_us / (double)tokens,
 		 (double)MIN(tokens, 1000));
 }
 
 /*
- * Time between tokens to expect at a batch of this size. The slope is never
- * taken as negative: a larger batch does not make an engine faster.
+ * Returns the expected time between tokens at this batch size. A negative slope
+ * counts as zero, because a larger batch does not make an engine faster.
  */
 int64_t pace_interval_us(const struct pace *pace, int32_t batch)
 {
--- a/core/placement/pace.h
+++ b/core/placement/pace.h
@@ -7,8 +7,10 @@
 G_BEGIN_DECLS
 
 /*
- * Time between tokens of one engine, as a line over the size of its batch,
- * fitted to what its streams deliver, with old observations fading.
+ * Time between tokens of one engine as a linear function of its batch size,
+ * fitted by weighted least squares to the progress of its streams. The weights
+ * of old observations decay. All members are weighted sums; intervals are in
+ * microseconds.
  */
 struct pace {
 	double weight;
--- a/tests/length_estimate_test.cc
+++ b/tests/length_estimate_test.cc
@@ -31,7 +31,8 @@
 
 		return 1 + (int64_t)(median * exp(sigma * z));
 	}
-	void learn(struct length_class *cls, int answers, double median)
+	void observe_answers(struct length_class *cls, int answers,
+			     double median)
 	{
 		for (int i = 0; i < answers; i++)
 			length_class_count_end(cls, 0, draw(median, 0.6));
@@ -42,12 +43,12 @@
 	}
 };
 
-TEST_F(LengthEstimate, LearnsTheMeanAndWhatIsLeft)
+TEST_F(LengthEstimate, LearnsMeanAndRemainingLength)
 {
 	struct length_class *cls =
 		length_estimate_class(estimate, "a", 1000, 0);
 
-	learn(cls, 1000, 500);
+	observe_answers(cls, 1000, 500);
 	EXPECT_NEAR(500 * exp(0.18), mean_left(cls, 0), 120);
 	EXPECT_NEAR(0.5, length_curve_survival(length_class_curve(cls), 500),
 		    0.1);
@@ -57,17 +58,17 @@
 }
 
 /*
- * Lengths triple. What still runs has not ended yet, so an estimate from ends
- * alone would go on expecting short answers and admit too much for as long as
- * the first of the new ones take. Their progress alone must show it.
+ * Answers become three times as long. An estimate from ended answers alone
+ * would expect short ones, and admit too many calls, until the first long
+ * answers end. The progress of running answers alone must raise the estimate.
  */
-TEST_F(LengthEstimate, ShowsAShiftByWhatStillRuns)
+TEST_F(LengthEstimate, DetectsAShiftFromRunningAnswers)
 {
 	struct length_class *cls =
 		length_estimate_class(estimate, "a", 1000, 0);
 	double before;
 
-	learn(cls, 1000, 300);
+	observe_answers(cls, 1000, 300);
 	before = mean_left(cls, 0);
 	for (int i = 0; i < 40; i++)
 		length_class_count_progress(cls, 0, 900);
@@ -82,17 +83,17 @@
 	struct length_class *other =
 		length_estimate_class(estimate, "b", 1000, 0);
 
-	learn(known, 500, 60);
+	observe_answers(known, 500, 60);
 	EXPECT_LT(mean_left(other, 0), 120);
 	length_class_unref(known);
 	length_class_unref(other);
 }
 
 /*
- * A caller sends ever new prefixes. The table stays bounded, classes in use
- * stay valid, and the longest unused go first.
+ * A caller sends a new prefix with each request. The table stays bounded,
+ * classes in use stay valid, and the least recently used go first.
  */
-TEST_F(LengthEstimate, BoundsItsClasses)
+TEST_F(LengthEstimate, BoundsTheNumberOfClasses)
 {
 	struct length_class *held =
 		length_estimate_class(estimate, "a", 1000, 7);
@@ -101,13 +102,13 @@
 		length_class_unref(
 			length_estimate_class(estimate, "a", 1000, i));
 	EXPECT_LE(length_estimate_class_count(estimate), 66u);
-	learn(held, 10, 100);
+	observe_answers(held, 10, 100);
 	EXPECT_EQ(held, length_estimate_class(estimate, "a", 1000, 7));
 	length_class_unref(held);
 	length_class_unref(held);
 }
 
-TEST_F(LengthEstimate, TakesAnyNumbers)
+TEST_F(LengthEstimate, AcceptsAnyNumbers)
 {
 	struct length_class *cls = length_estimate_class(estimate, "", -5, 1);
 
