--- a/core/membership/member_table.c
+++ b/core/membership/member_table.c
@@ -4,18 +4,18 @@
 #include <string.h>
 
 #define SPREAD_FACTOR 3
-#define MAX_NEAR 2048
-#define MAX_FAR 1024
-#define MAX_SUPERSEDED 4096
+#define MAX_OWN_REGION 2048
+#define MAX_OTHER_REGIONS 1024
+#define MAX_SUPERSEDED_MARKS 4096
 
 struct member_table {
 	struct peer *self;
 	GHashTable *peers;	/* name to struct peer, owned */
 	GPtrArray *all;		/* struct peer */
-	GPtrArray *view;	/* struct member, sorted, without the dead */
+	GPtrArray *view;	/* struct member by name, none dead */
 	GHashTable *superseded; /* incarnation to int64_t until_us */
 	uint64_t epoch;
-	uint64_t changes;
+	uint64_t last_change_number;
 };
 
 static void peer_destroy(gpointer data)
@@ -63,7 +63,10 @@
 	return peer;
 }
 
-/* A table that holds the node itself. */
+/*
+ * Creates a table with a copy of the node's own record as its only member. The
+ * caller frees it with member_table_destroy.
+ */
 struct member_table *member_table_create(const struct member *self)
 {
 	struct member_table *table = g_new0(struct member_table, 1);
@@ -90,20 +93,23 @@
 	g_free(table);
 }
 
-/* The node itself. */
+/* Returns the entry of the node itself; the table owns it. */
 struct peer *member_table_self(const struct member_table *table)
 {
 	return table->self;
 }
 
-/* The peer of this name, dead ones too, or NULL. */
+/* Returns the peer with this name, also a dead one, or NULL. */
 struct peer *member_table_find(const struct member_table *table,
 			       const char *name)
 {
 	return g_hash_table_lookup(table->peers, name);
 }
 
-/* The peer at this address, one that is not dead first, or NULL. */
+/*
+ * Returns the peer at this address or NULL. A peer that is not dead takes
+ * precedence over dead ones.
+ */
 struct peer *member_table_find_address(const struct member_table *table,
 				       const char *peer_address)
 {
@@ -121,16 +127,19 @@
 	return found;
 }
 
-/* Whether the peer is of the node's own region. */
-bool member_table_is_near(const struct member_table *table,
-			  const struct peer *peer)
+/* Returns whether the peer is in the node's own region. */
+bool member_table_in_own_region(const struct member_table *table,
+				const struct peer *peer)
 {
 	return strcmp(peer->member->region, table->self->member->region) == 0;
 }
 
-/* The dead peer of longest standing that may make room, or NULL. */
+/*
+ * Returns the peer of the own region, or of the other regions, that has been
+ * dead for longest, or NULL.
+ */
 static struct peer *member_table_oldest_dead(const struct member_table *table,
-					     bool near)
+					     bool own_region)
 {
 	struct peer *oldest = NULL;
 
@@ -138,15 +147,20 @@
 		struct peer *peer = g_ptr_array_index(table->all, i);
 
 		if (peer->member->state == MEMBER_DEAD &&
-		    member_table_is_near(table, peer) == near &&
+		    member_table_in_own_region(table, peer) == own_region &&
 		    (!oldest || peer->changed_us < oldest->changed_us))
 			oldest = peer;
 	}
 	return oldest;
 }
 
-/* Whether fewer than enough members of a region other than the own one live. */
-bool member_table_wants(const struct member_table *table, const char *region)
+/*
+ * Returns whether the table takes a further member of a region: always for the
+ * own region, and for another one while fewer than MEMBER_TABLE_PER_REGION of
+ * its members are not dead.
+ */
+bool member_table_accepts_region(const struct member_table *table,
+				 const char *region)
 {
 	guint count = 0;
 
@@ -161,41 +175,47 @@
 	return count < MEMBER_TABLE_PER_REGION;
 }
 
-/* Keeps the table bounded whatever is heard; the oldest dead make room. */
+/*
+ * Bounds the table whatever other nodes send: a full table evicts the peer that
+ * has been dead for longest. Returns false if there is none. The own region and
+ * the other regions have separate bounds.
+ */
 static bool member_table_make_room(struct member_table *table,
 				   const struct member *member)
 {
-	bool near = strcmp(member->region, table->self->member->region) == 0;
+	bool own_region =
+		strcmp(member->region, table->self->member->region) == 0;
 	struct peer *oldest;
 	guint count = 0;
 
 	for (guint i = 0; i < table->all->len; i++) {
 		const struct peer *peer = g_ptr_array_index(table->all, i);
 
-		count += member_table_is_near(table, peer) == near;
+		count += member_table_in_own_region(table, peer) == own_region;
 	}
-	if (count < (near ? MAX_NEAR : MAX_FAR))
+	if (count < (own_region ? MAX_OWN_REGION : MAX_OTHER_REGIONS))
 		return true;
-	oldest = member_table_oldest_dead(table, near);
+	oldest = member_table_oldest_dead(table, own_region);
 	if (oldest)
 		member_table_remove(table, oldest);
 	return oldest != NULL;
 }
 
 /*
- * Adds a member whose name is not in the table. Returns NULL where enough of
- * its region are known: no node needs to know all nodes of all regions.
+ * Adds a copy of a member whose name is not in the table. Returns NULL if the
+ * table is full or already has enough members of that region: no node needs to
+ * know all nodes of all regions.
  */
 struct peer *member_table_add(struct member_table *table,
 			      const struct member *member, int64_t now_us)
 {
-	if (!member_table_wants(table, member->region) ||
+	if (!member_table_accepts_region(table, member->region) ||
 	    !member_table_make_room(table, member))
 		return NULL;
 	return member_table_insert(table, member, now_us);
 }
 
-/* Takes a peer out; never the node itself. */
+/* Removes and frees a peer, which must not be the node itself. */
 void member_table_remove(struct member_table *table, struct peer *peer)
 {
 	g_ptr_array_remove_fast(table->all, peer);
@@ -203,7 +223,7 @@
 	member_table_refresh(table);
 }
 
-/* Puts a newer record of the same name in place of the old one. */
+/* Replaces a peer's record by a copy of a newer one with the same name. */
 void member_table_replace(struct member_table *table, struct peer *peer,
 			  const struct member *member, int64_t now_us)
 {
@@ -221,9 +241,9 @@
 		peer->changed_us = now_us;
 	if (old->incarnation != member->incarnation)
 		peer->added_us = now_us;
-	peer->accused = false;
+	peer->probe_failed = false;
 	peer->local = false;
-	/* The view points to records: it may not keep the old one. */
+	/* The view points to records, so replace the old one there too. */
 	for (guint i = 0; i < table->view->len; i++) {
 		if (g_ptr_array_index(table->view, i) == old)
 			g_ptr_array_index(table->view, i) = peer->member;
@@ -233,11 +253,14 @@
 	member_destroy(old);
 }
 
-/* Sets a state; accused and local are for the caller to set after. */
+/*
+ * Sets a state and clears probe_failed and local, which the caller may set
+ * again afterwards.
+ */
 void member_table_set_state(struct member_table *table, struct peer *peer,
 			    enum member_state state, int64_t now_us)
 {
-	peer->accused = false;
+	peer->probe_failed = false;
 	peer->local = false;
 	if (peer->member->state == state)
 		return;
@@ -246,23 +269,29 @@
 	member_table_refresh(table);
 }
 
-/* Starts to spread a record: to about 3 log2 n others by each who knows it. */
+/*
+ * Starts to spread a record: each node that has it sends it to about 3 log2 n
+ * others.
+ */
 void member_table_spread(struct member_table *table, struct peer *peer)
 {
 	double count = table->all->len;
 
 	peer->spread_left = SPREAD_FACTOR * (int32_t)ceil(log2(count + 1));
-	peer->change = ++table->changes;
+	peer->change_number = ++table->last_change_number;
 }
 
-/* Remembers that an incarnation was replaced: what is said of it is old. */
+/*
+ * Marks an incarnation as replaced until a time in us: records of it are out of
+ * date and are ignored.
+ */
 void member_table_supersede(struct member_table *table, uint64_t incarnation,
 			    int64_t until_us)
 {
 	uint64_t *key;
 	int64_t *value;
 
-	if (g_hash_table_size(table->superseded) >= MAX_SUPERSEDED)
+	if (g_hash_table_size(table->superseded) >= MAX_SUPERSEDED_MARKS)
 		return;
 	key = g_new(uint64_t, 1);
 	value = g_new(int64_t, 1);
@@ -271,15 +300,18 @@
 	g_hash_table_insert(table->superseded, key, value);
 }
 
-/* Whether the incarnation was replaced by a later one. */
+/* Returns whether a later incarnation has replaced this one. */
 bool member_table_is_superseded(const struct member_table *table,
 				uint64_t incarnation)
 {
 	return g_hash_table_contains(table->superseded, &incarnation);
 }
 
-/* Drops peers dead since before that time, and what expired. */
-void member_table_forget(struct member_table *table, int64_t before_us,
+/*
+ * Removes the peers that have been dead since before before_us, and the marks
+ * of replaced incarnations that have expired. Times are in us.
+ */
+void member_table_expire(struct member_table *table, int64_t before_us,
 			 int64_t now_us)
 {
 	GHashTableIter iter;
@@ -299,25 +331,28 @@
 	}
 }
 
-/* All but the dead, sorted by name. */
+/* Returns the members that are not dead, sorted by name. */
 const GPtrArray *member_table_view(const struct member_table *table)
 {
 	return table->view;
 }
 
-/* All peers with the node itself and the dead. */
+/* Returns all peers, including the node itself and the dead. */
 const GPtrArray *member_table_all(const struct member_table *table)
 {
 	return table->all;
 }
 
-/* Rises whenever the set, a state, an incarnation or an address changes. */
+/*
+ * Returns a counter that rises whenever the set, a state, an incarnation or an
+ * address changes.
+ */
 uint64_t member_table_epoch(const struct member_table *table)
 {
 	return table->epoch;
 }
 
-/* How many records are still to be spread. */
+/* Returns how many records of other nodes are still to be spread. */
 size_t member_table_count_changes(const struct member_table *table)
 {
 	size_t count = 0;
@@ -330,41 +365,42 @@
 	return count;
 }
 
-static bool peer_goes_before(const struct peer *a, const struct peer *b)
+static bool peer_spreads_before(const struct peer *a, const struct peer *b)
 {
 	if (a->spread_left != b->spread_left)
 		return a->spread_left > b->spread_left;
-	return a->change > b->change;
+	return a->change_number > b->change_number;
 }
 
 /*
- * Appends copies of at most max records that are still to be spread, those
- * told least often first and of these the newest, and counts them as told.
+ * Appends copies of at most max records that are still to be spread and counts
+ * them as sent. Those with the most sends left come first, and of these the
+ * most recently changed.
  */
 void member_table_collect_changes(struct member_table *table, size_t max,
 				  GPtrArray *members)
 {
-	struct peer *chosen[16];
+	struct peer *selected[16];
 	size_t count = 0;
 
-	max = MIN(max, G_N_ELEMENTS(chosen));
+	max = MIN(max, G_N_ELEMENTS(selected));
 	for (guint i = 0; i < table->all->len; i++) {
 		struct peer *peer = g_ptr_array_index(table->all, i);
 		size_t at = count;
 
 		if (peer->spread_left <= 0 || peer == table->self)
 			continue;
-		while (at > 0 && peer_goes_before(peer, chosen[at - 1]))
+		while (at > 0 && peer_spreads_before(peer, selected[at - 1]))
 			at--;
 		if (at >= max)
 			continue;
 		count = MIN(count + 1, max);
 		for (size_t k = count - 1; k > at; k--)
-			chosen[k] = chosen[k - 1];
-		chosen[at] = peer;
+			selected[k] = selected[k - 1];
+		selected[at] = peer;
 	}
 	for (size_t i = 0; i < count; i++) {
-		chosen[i]->spread_left--;
-		g_ptr_array_add(members, member_copy(chosen[i]->member));
+		selected[i]->spread_left--;
+		g_ptr_array_add(members, member_copy(selected[i]->member));
 	}
 }
--- a/core/membership/member_table.h
+++ b/core/membership/member_table.h
@@ -10,23 +10,23 @@
 G_BEGIN_DECLS
 
 /*
- * The members a node knows, itself included: all of its own region, and a
- * bounded number of each other region. Keeps what is still to be spread and
- * which incarnations have been replaced.
+ * The members that a node knows, including itself: all members of its own
+ * region and a bounded number of each other region. The table also records
+ * which changes are still to be spread and which incarnations were replaced.
  */
 
 #define MEMBER_TABLE_PER_REGION 6
 
-/* What is known of one node, and how. */
+/* One node: its record, and how this node came to the recorded state. */
 struct peer {
 	struct member *member;
 	int64_t added_us;
-	int64_t changed_us; /* when it got its state */
-	uint64_t change;    /* number of its last change, rising */
-	int32_t spread_left;
-	bool accused; /* this node itself got no answer */
-	bool local;   /* the state is this node's own opinion, not spread */
-	bool left;    /* it said itself that it leaves */
+	int64_t changed_us;	/* when its state last changed */
+	uint64_t change_number; /* rises with each change in the table */
+	int32_t spread_left;	/* messages that still carry the record */
+	bool probe_failed;	/* a probe by this node got no answer */
+	bool local; /* only this node has set the state; it is not spread */
+	bool left_voluntarily; /* the node has announced that it leaves */
 };
 
 struct member_table;
@@ -39,7 +39,8 @@
 			       const char *name);
 struct peer *member_table_find_address(const struct member_table *table,
 				       const char *peer_address);
-bool member_table_wants(const struct member_table *table, const char *region);
+bool member_table_accepts_region(const struct member_table *table,
+				 const char *region);
 struct peer *member_table_add(struct member_table *table,
 			      const struct member *member, int64_t now_us);
 void member_table_remove(struct member_table *table, struct peer *peer);
@@ -53,15 +54,15 @@
 			    int64_t until_us);
 bool member_table_is_superseded(const struct member_table *table,
 				uint64_t incarnation);
-void member_table_forget(struct member_table *table, int64_t before_us,
+void member_table_expire(struct member_table *table, int64_t before_us,
 			 int64_t now_us);
 
-/* All but the dead, sorted by name; struct member, not owned. */
+/* The members that are not dead, by name; struct member, not owned. */
 const GPtrArray *member_table_view(const struct member_table *table);
-/* All, in no order; struct peer, not owned. */
+/* All peers in no particular order; struct peer, not owned. */
 const GPtrArray *member_table_all(const struct member_table *table);
-bool member_table_is_near(const struct member_table *table,
-			  const struct peer *peer);
+bool member_table_in_own_region(const struct member_table *table,
+				const struct peer *peer);
 uint64_t member_table_epoch(const struct member_table *table);
 
 size_t member_table_count_changes(const struct member_table *table);
--- a/core/membership/membership.c
+++ b/core/membership/membership.c
@@ -1,6 +1,6 @@
 #include "core/membership/membership_state.h"
 
-#define MAX_VERIFIES 4
+#define MAX_ADDRESS_PROBES 4
 
 static void probe_destroy(gpointer data)
 {
@@ -8,13 +8,14 @@
 
 	g_free(probe->name);
 	g_free(probe->address);
-	g_free(probe->asker);
+	g_free(probe->requester);
 	g_free(probe);
 }
 
 /*
- * A node that knows only itself. The first step asks the seeds. Times are in
- * microseconds; the options are copied.
+ * Creates the membership of a node that knows only itself; the first step
+ * probes the seeds. Times are in microseconds, and the options are copied. The
+ * caller frees it with membership_destroy.
  */
 struct membership *membership_create(const struct membership_options *options)
 {
@@ -48,7 +49,7 @@
 	g_free(membership);
 }
 
-/* How many others are not dead. */
+/* Returns how many other members are not dead. */
 static size_t membership_other_count(const struct membership *membership)
 {
 	const GPtrArray *view = member_table_view(membership->table);
@@ -57,7 +58,10 @@
 	       (membership_own(membership)->state != MEMBER_DEAD ? 1 : 0);
 }
 
-/* Whether more than half of the known nodes of the region answer. */
+/*
+ * Returns whether more than half of the known nodes of the region, including
+ * this one, answer. Nodes that have left are not counted.
+ */
 bool membership_has_quorum(const struct membership *membership)
 {
 	const GPtrArray *all = member_table_all(membership->table);
@@ -66,8 +70,9 @@
 	for (guint i = 0; i < all->len; i++) {
 		const struct peer *peer = g_ptr_array_index(all, i);
 
-		if (!member_table_is_near(membership->table, peer) ||
-		    (peer->left && peer->member->state == MEMBER_DEAD))
+		if (!member_table_in_own_region(membership->table, peer) ||
+		    (peer->left_voluntarily &&
+		     peer->member->state == MEMBER_DEAD))
 			continue;
 		known++;
 		answering += peer_is_answering(peer);
@@ -75,8 +80,8 @@
 	return answering * 2 > known;
 }
 
-/* Whether no other node of the own region is known. */
-bool membership_is_alone_near(const struct membership *membership)
+/* Returns whether no other node of the own region is known. */
+bool membership_is_alone_in_region(const struct membership *membership)
 {
 	const GPtrArray *all = member_table_all(membership->table);
 
@@ -84,23 +89,24 @@
 		const struct peer *peer = g_ptr_array_index(all, i);
 
 		if (!membership_is_self(membership, peer) &&
-		    member_table_is_near(membership->table, peer))
+		    member_table_in_own_region(membership->table, peer))
 			return false;
 	}
 	return true;
 }
 
 /*
- * The dead are forgotten after 15 minutes, but not by a node that hears only
- * a minority: it would come to take that minority for the whole.
+ * Removes peers that have been dead for 15 minutes. A node without a quorum
+ * keeps them: otherwise the minority that it can reach would in time count as
+ * the whole region.
  */
-static void membership_forget(struct membership *membership)
+static void membership_expire(struct membership *membership)
 {
-	int64_t before_us = membership->now_us - MEMBERSHIP_FORGET_US;
+	int64_t before_us = membership->now_us - MEMBERSHIP_DEAD_TTL_US;
 
 	if (!membership_has_quorum(membership))
 		before_us = INT64_MIN;
-	member_table_forget(membership->table, before_us, membership->now_us);
+	member_table_expire(membership->table, before_us, membership->now_us);
 }
 
 static void membership_heartbeat(struct membership *membership)
@@ -111,28 +117,29 @@
 		membership->now_us +
 		(int64_t)((double)membership->heartbeat_us *
 			  g_rand_double_range(membership->random, 0.9, 1.1));
-	membership->heartbeats++;
-	membership->verifies_left = MAX_VERIFIES;
+	membership->heartbeat_count++;
+	membership->address_probes_left = MAX_ADDRESS_PROBES;
 	if (membership_own(membership)->state == MEMBER_DEAD)
 		return;
 	if (membership_other_count(membership) == 0) {
 		membership_join(membership);
 	} else {
-		membership->joins = 0;
+		membership->join_attempts = 0;
 		membership_rejoin(membership);
 		target = membership_next_target(membership);
 		if (target)
 			membership_probe(membership, target);
-		membership_confirm_suspects(membership);
+		membership_probe_suspects(membership);
 	}
-	if (membership->heartbeats % MEMBERSHIP_REJOIN_HEARTBEATS == 0)
-		membership_forget(membership);
+	if (membership->heartbeat_count % MEMBERSHIP_REJOIN_HEARTBEATS == 0)
+		membership_expire(membership);
 }
 
 /*
- * A process that was paused finds its probes unanswered and its suspicions
- * run out, while the answers still wait in its sockets. It would call its
- * peers dead; so it asks anew and lets long suspicions start over.
+ * Detects that the process was paused. Its probes then look unanswered and its
+ * suspicions expired while the answers still wait in its sockets, and it would
+ * declare its peers dead. So it drops the pending probes, and after a pause of
+ * at least half the suspicion timeout it restarts the suspicions.
  */
 static void membership_check_pause(struct membership *membership)
 {
@@ -151,7 +158,7 @@
 	}
 }
 
-/* Works out when the next step is due; for after each step and message. */
+/* Computes when the next step is due; called after each step and message. */
 void membership_schedule(struct membership *membership)
 {
 	const GPtrArray *all = member_table_all(membership->table);
@@ -167,9 +174,10 @@
 		const struct peer *peer = g_ptr_array_index(all, i);
 
 		if (peer->member->state == MEMBER_SUSPECT)
-			due_us = MIN(due_us, peer->changed_us +
-						     membership_patience_us(
-							     membership, peer));
+			due_us = MIN(due_us,
+				     peer->changed_us +
+					     membership_suspect_timeout_us(
+						     membership, peer));
 	}
 	membership->next_due_us = membership->announce ? 0 : due_us;
 }
@@ -177,7 +185,7 @@
 static void membership_start(struct membership *membership)
 {
 	membership->started = true;
-	membership->quorum_us = membership->now_us;
+	membership->last_quorum_us = membership->now_us;
 	membership_join(membership);
 	membership->next_heartbeat_us =
 		membership->now_us +
@@ -186,11 +194,12 @@
 }
 
 /*
- * Does what is due. now_us never falls. Appends records to send and log lines.
+ * Does everything that is due at now_us; a now_us lower than an earlier one is
+ * taken as the earlier one. Appends messages to send and log lines to actions.
  *
- * Cost, by build/bin/membership_bench with a heartbeat of 200 ms and no loss:
- * 10 records a second whatever the size; 1,037 bytes a second sent at 8 nodes,
- * 1,128 at 48, 1,811 at 480 in ten regions, and under 0.03% of a core.
+ * Cost per node in build/bin/membership_bench with a heartbeat of 200 ms and no
+ * loss: 10 messages a second at every size; 1,037 bytes a second sent at 8
+ * nodes, 1,128 at 48, 1,811 at 480 in ten regions; under 0.03% of a core.
  */
 void membership_step(struct membership *membership, int64_t now_us,
 		     struct action_list *actions)
@@ -212,14 +221,14 @@
 	membership->actions = NULL;
 }
 
-/* When membership_step wants to be called next, in us. */
+/* Returns when membership_step is to be called next, in us. */
 int64_t membership_next_due_us(const struct membership *membership)
 {
 	return membership->next_due_us;
 }
 
-/* Raises the own version above what is said of this node, and spreads that. */
-void membership_raise(struct membership *membership, uint64_t above)
+/* Raises the own version above the given one and spreads the own record. */
+void membership_raise_version(struct membership *membership, uint64_t above)
 {
 	struct peer *self = member_table_self(membership->table);
 
@@ -228,8 +237,8 @@
 }
 
 /*
- * Sets the node's own state, LEAVING when it drains and DEAD when it ends; the
- * next step, due at once, tells others.
+ * Sets the node's own state: LEAVING when it drains and DEAD when it ends. The
+ * next step is due at once and announces the state to others.
  */
 void membership_set_state(struct membership *membership,
 			  enum member_state state)
@@ -240,14 +249,15 @@
 		return;
 	member_table_set_state(membership->table, self, state,
 			       membership->now_us);
-	membership_raise(membership, 0);
+	membership_raise_version(membership, 0);
 	membership->announce = true;
 	membership->next_due_us = 0;
 }
 
 /*
- * Sets the revision told to others. It rides on each ping and raises no
- * version: configurations change far more often than members do.
+ * Sets the configuration revision that this node announces. Each ping carries
+ * it, and it does not raise the version: configurations change far more often
+ * than members do.
  */
 void membership_set_config_revision(struct membership *membership,
 				    int64_t revision)
@@ -255,20 +265,23 @@
 	membership_own(membership)->config_revision = revision;
 }
 
-/* How many members are not dead, the node itself included. */
+/* Returns how many members are not dead, including the node itself. */
 size_t membership_count(const struct membership *membership)
 {
 	return member_table_view(membership->table)->len;
 }
 
-/* The member at i, sorted by name; valid until the next step or message. */
+/*
+ * Returns the member at index i in the order of names; the pointer is valid
+ * until the next step or message.
+ */
 const struct member *membership_get(const struct membership *membership,
 				    size_t i)
 {
 	return g_ptr_array_index(member_table_view(membership->table), i);
 }
 
-/* The member of this name unless it is dead or unknown, then NULL. */
+/* Returns the member with this name, or NULL if it is dead or unknown. */
 const struct member *membership_find(const struct membership *membership,
 				     const char *name)
 {
@@ -279,23 +292,26 @@
 	return peer->member;
 }
 
-/* The node itself. */
+/* Returns the record of the node itself. */
 const struct member *membership_self(const struct membership *membership)
 {
 	return membership_own(membership);
 }
 
-/* Rises whenever the set, a state, an incarnation or an address changes. */
+/*
+ * Returns a counter that rises whenever the set, a state, an incarnation or an
+ * address changes.
+ */
 uint64_t membership_epoch(const struct membership *membership)
 {
 	return member_table_epoch(membership->table);
 }
 
 /*
- * When a probe was last answered while more than half of the known nodes of
- * the region answer, in us. Dead nodes count as known until they are
- * forgotten, unless they said that they leave. A node without others has
- * always just heard itself.
+ * Returns when a probe was last answered while more than half of the known
+ * nodes of the region answered, in us. Dead nodes count as known until they are
+ * removed, unless they had announced that they leave. For a node that knows no
+ * others the result is the current time.
  */
 int64_t membership_quorum_heard_us(const struct membership *membership)
 {
@@ -303,5 +319,5 @@
 
 	if (all->len == 1)
 		return membership->now_us;
-	return membership->quorum_us;
+	return membership->last_quorum_us;
 }
--- a/core/membership/membership.h
+++ b/core/membership/membership.h
@@ -11,10 +11,10 @@
 G_BEGIN_DECLS
 
 /*
- * Which nodes there are, by random probes, indirect probes and gossip riding
- * on them (SWIM). A node's own statement about itself, with the higher
- * version, wins over what others say; an incarnation is never reused, so a
- * replaced node under the same address is a different member.
+ * Finds nodes and detects their failure with random probes, indirect probes and
+ * gossip piggybacked on them (SWIM). A node's own record of itself, with a
+ * higher version, overrides the records of others. An incarnation is never
+ * reused, so a replaced node under the same address is a different member.
  */
 struct membership_options {
 	const struct member *self; /* copied */
@@ -42,7 +42,7 @@
 void membership_set_config_revision(struct membership *membership,
 				    int64_t revision);
 
-/* Members include the node itself, sorted by name; dead ones are left out. */
+/* The members that are not dead, including the node itself, by name. */
 size_t membership_count(const struct membership *membership);
 const struct member *membership_get(const struct membership *membership,
 				    size_t i);
@@ -50,10 +50,10 @@
 				     const char *name);
 const struct member *membership_self(const struct membership *membership);
 
-/* Rises whenever the set, a state or an incarnation changes. */
+/* Rises whenever the set, a state, an incarnation or an address changes. */
 uint64_t membership_epoch(const struct membership *membership);
 
-/* When most of the known members of the region last answered, in us. */
+/* When more than half of the known nodes of the region last answered, in us. */
 int64_t membership_quorum_heard_us(const struct membership *membership);
 
 G_END_DECLS
--- a/core/membership/membership_gossip.c
+++ b/core/membership/membership_gossip.c
@@ -3,27 +3,27 @@
 #include <string.h>
 
 #define GOSSIP_MEMBERS 6
-#define GOSSIP_BURST 15	  /* where much has changed at once */
-#define GOSSIP_FAR 2	  /* of these, where a receiver knows little */
-#define EXTRA_ONE_IN 4	  /* messages that carry a record unasked */
-#define NEW_HEARTBEATS 20 /* a newcomer is told more for so long */
-#define ANNOUNCE_NEAR 8
-#define ANNOUNCE_FAR 2
-
-/* The record of the node itself. */
+#define GOSSIP_BURST 15	       /* records while many changes are pending */
+#define GOSSIP_OTHER_REGIONS 2 /* of the extra records, from other regions */
+#define GOSSIP_EXTRA_ONE_IN 4  /* messages, one of which has an extra record */
+#define NEW_MEMBER_HEARTBEATS 20 /* a new member gets more records */
+#define ANNOUNCE_OWN_REGION 8
+#define ANNOUNCE_OTHER_REGIONS 2
+
+/* Returns the record of the node itself; the table owns it. */
 struct member *membership_own(const struct membership *membership)
 {
 	return member_table_self(membership->table)->member;
 }
 
-/* Whether the peer is the node itself. */
+/* Returns whether the peer is the node itself. */
 bool membership_is_self(const struct membership *membership,
 			const struct peer *peer)
 {
 	return peer == member_table_self(membership->table);
 }
 
-/* Whether the peer is neither suspected nor dead. */
+/* Returns whether the peer is neither suspected nor dead. */
 bool peer_is_answering(const struct peer *peer)
 {
 	return peer->member->state == MEMBER_LIVE ||
@@ -36,14 +36,18 @@
 {
 	if (membership_is_self(membership, peer) ||
 	    peer->member->state == MEMBER_DEAD ||
-	    member_table_is_near(membership->table, peer) != pick->near)
+	    member_table_in_own_region(membership->table, peer) !=
+		    pick->own_region)
 		return false;
 	if (pick->region && strcmp(peer->member->region, pick->region) != 0)
 		return false;
 	return !pick->except || strcmp(peer->member->name, pick->except) != 0;
 }
 
-/* Appends members that are not dead, each with the same chance. */
+/*
+ * Appends at most pick->max random members that are not dead and match, each
+ * with the same probability (reservoir sampling). The table owns them.
+ */
 void membership_pick(struct membership *membership, const struct pick *pick,
 		     GPtrArray *picked)
 {
@@ -79,36 +83,38 @@
 	return false;
 }
 
-/* Appends a copy of the record unless one of that name is there already. */
+/* Appends a copy of the peer's record unless the name is in the list. */
 void member_list_add(GPtrArray *members, const struct peer *peer)
 {
 	if (peer && !member_list_has(members, peer->member->name))
 		g_ptr_array_add(members, member_copy(peer->member));
 }
 
-/* Whether the peer joined so lately that it knows little. */
+/* Returns whether the peer joined so recently that it may know few members. */
 bool membership_peer_is_new(const struct membership *membership,
 			    const struct peer *peer)
 {
 	return membership->now_us - peer->added_us <
-	       NEW_HEARTBEATS * membership->heartbeat_us;
+	       NEW_MEMBER_HEARTBEATS * membership->heartbeat_us;
 }
 
-/* How many records to send that nobody asked for. */
+/* Returns the record count up to which random records fill a message. */
 static size_t membership_extra_count(struct membership *membership,
 				     const struct peer *to)
 {
 	if (!to || membership_peer_is_new(membership, to) ||
-	    !member_table_is_near(membership->table, to))
+	    !member_table_in_own_region(membership->table, to))
 		return GOSSIP_MEMBERS;
-	return g_rand_int_range(membership->random, 0, EXTRA_ONE_IN) == 0;
+	return g_rand_int_range(membership->random, 0, GOSSIP_EXTRA_ONE_IN) ==
+	       0;
 }
 
 /*
- * What rides on a message: what the receiver must know of itself, what has
- * changed, and random records where the receiver knows little or lives in
- * another region. A random record now and then to all others mends what lost
- * messages left out.
+ * Appends the records that a message to a peer carries; to may be NULL. These
+ * are the peer's own record if it has to refute it, the records that changed,
+ * and random ones if the peer is new, unknown or in another region. All other
+ * peers get an occasional random record, which repairs what lost messages left
+ * out.
  */
 void membership_add_gossip(struct membership *membership, const struct peer *to,
 			   GPtrArray *members)
@@ -126,13 +132,15 @@
 	if (members->len < extra) {
 		size_t room = extra - members->len;
 		struct pick pick = {
-			.max = room > GOSSIP_FAR ? room - GOSSIP_FAR : 1,
-			.near = true,
+			.max = room > GOSSIP_OTHER_REGIONS
+				       ? room - GOSSIP_OTHER_REGIONS
+				       : 1,
+			.own_region = true,
 			.except = to ? to->member->name : NULL,
 		};
 
 		membership_pick(membership, &pick, picked);
-		pick.near = false;
+		pick.own_region = false;
 		pick.max = room - picked->len;
 		membership_pick(membership, &pick, picked);
 	}
@@ -141,10 +149,14 @@
 	g_ptr_array_unref(picked);
 }
 
-/* A message from this node; number and subject as in struct peer_probe. */
-struct peer_message *membership_message(const struct membership *membership,
-					enum peer_message_type type,
-					uint64_t number, const char *subject)
+/*
+ * Creates a message from this node, with number and subject as in struct
+ * peer_probe. The caller owns it.
+ */
+struct peer_message *
+membership_create_message(const struct membership *membership,
+			  enum peer_message_type type, uint64_t number,
+			  const char *subject)
 {
 	const struct member *own = membership_own(membership);
 	struct peer_message *message = peer_message_create(type);
@@ -157,7 +169,7 @@
 	return message;
 }
 
-/* Sends a message, which the action takes over. */
+/* Appends an action that sends a message; the action owns the message. */
 void membership_send(struct membership *membership, const char *address,
 		     struct peer_message *message)
 {
@@ -169,16 +181,16 @@
 }
 
 /*
- * Pings an address. Every ping carries the sender's own record, because it is
- * how others learn its state and configuration; introduce asks for the
- * receiver's in return.
+ * Pings an address. Every ping carries the sender's own record, from which
+ * others learn its state and configuration; introduce requests the receiver's
+ * own record in return.
  */
 void membership_ping(struct membership *membership, const char *address,
 		     uint64_t number, bool introduce)
 {
 	const struct peer *to =
 		member_table_find_address(membership->table, address);
-	struct peer_message *message = membership_message(
+	struct peer_message *message = membership_create_message(
 		membership, PEER_PING, number, introduce ? address : "");
 
 	member_list_add(message->probe.members,
@@ -187,16 +199,17 @@
 	membership_send(membership, address, message);
 }
 
-/* Tells several members at once of a change of the own state. */
+/* Announces a change of the own state to several members at once. */
 void membership_announce(struct membership *membership)
 {
-	const struct pick near = {.max = ANNOUNCE_NEAR, .near = true};
-	const struct pick far = {.max = ANNOUNCE_FAR};
+	const struct pick own_region = {.max = ANNOUNCE_OWN_REGION,
+					.own_region = true};
+	const struct pick other_regions = {.max = ANNOUNCE_OTHER_REGIONS};
 	GPtrArray *picked = g_ptr_array_new();
 
 	membership->announce = false;
-	membership_pick(membership, &near, picked);
-	membership_pick(membership, &far, picked);
+	membership_pick(membership, &own_region, picked);
+	membership_pick(membership, &other_regions, picked);
 	for (guint i = 0; i < picked->len; i++) {
 		const struct peer *peer = g_ptr_array_index(picked, i);
 
--- a/core/membership/membership_hear.c
+++ b/core/membership/membership_hear.c
@@ -4,28 +4,28 @@
 
 #define REJOIN_BURST 8
 
-/* A ping to whoever is at an address now; few in a heartbeat. */
-static void membership_verify(struct membership *membership,
-			      const char *address)
+/* Pings the node now at an address, a limited number of times a heartbeat. */
+static void membership_verify_address(struct membership *membership,
+				      const char *address)
 {
-	if (membership->verifies_left <= 0)
+	if (membership->address_probes_left <= 0)
 		return;
-	membership->verifies_left--;
+	membership->address_probes_left--;
 	membership_probe_address(membership, address);
 }
 
-static void membership_revived(struct membership *membership,
-			       const struct peer *peer)
+static void membership_handle_revival(struct membership *membership,
+				      const struct peer *peer)
 {
-	membership->rejoins_left = REJOIN_BURST;
+	membership->rejoin_probes_left = REJOIN_BURST;
 	action_list_log(membership->actions, LOG_LEVEL_INFO, "member_back",
 			"member", peer->member->name, "address",
 			peer->member->peer_address, NULL);
 }
 
 /*
- * Another node now has a live member's address: the old one is gone, and its
- * place must not be probed under the new one's name.
+ * Declares a member dead whose address another node now has. The old node is
+ * gone, and the new one must not answer probes for it.
  */
 static void membership_clear_address(struct membership *membership,
 				     const struct member *member)
@@ -38,15 +38,15 @@
 	    other->member->state == MEMBER_DEAD)
 		return;
 	member_table_supersede(membership->table, other->member->incarnation,
-			       membership->now_us + MEMBERSHIP_FORGET_US);
+			       membership->now_us + MEMBERSHIP_DEAD_TTL_US);
 	member_table_set_state(membership->table, other, MEMBER_DEAD,
 			       membership->now_us);
 	member_table_spread(membership->table, other);
 	membership_log_dead(membership, other, member->name);
 }
 
-static struct peer *membership_meet(struct membership *membership,
-				    const struct member *member)
+static struct peer *membership_add_member(struct membership *membership,
+					  const struct member *member)
 {
 	struct peer *peer;
 
@@ -56,7 +56,7 @@
 	peer = member_table_add(membership->table, member, membership->now_us);
 	if (!peer)
 		return NULL;
-	peer->left = member->state == MEMBER_LEAVING;
+	peer->left_voluntarily = member->state == MEMBER_LEAVING;
 	action_list_log(membership->actions, LOG_LEVEL_INFO, "member_new",
 			"member", member->name, "address", member->peer_address,
 			"region", member->region, NULL);
@@ -72,25 +72,26 @@
 	membership_clear_address(membership, member);
 	member_table_replace(membership->table, peer, member,
 			     membership->now_us);
-	peer->left = member->state == MEMBER_LEAVING ||
-		     (peer->left && member->state != MEMBER_LIVE);
+	peer->left_voluntarily =
+		member->state == MEMBER_LEAVING ||
+		(peer->left_voluntarily && member->state != MEMBER_LIVE);
 	member_table_spread(membership->table, peer);
 	if (was_dead && !is_dead)
-		membership_revived(membership, peer);
+		membership_handle_revival(membership, peer);
 	if (is_dead && !was_dead)
 		membership_log_dead(membership, peer, by);
 }
 
-/* The sender speaks of itself, as the same incarnation as known. */
-static void membership_hear_known(struct membership *membership,
-				  struct peer *peer,
-				  const struct member *record)
+/* Merges a sender's record of itself; its incarnation is the known one. */
+static void membership_merge_sender(struct membership *membership,
+				    struct peer *peer,
+				    const struct member *record)
 {
 	bool alive = record->state != MEMBER_DEAD;
 
 	if (record->version > peer->member->version) {
 		if (!alive)
-			peer->left = true;
+			peer->left_voluntarily = true;
 		membership_replace(membership, peer, record, "itself");
 		return;
 	}
@@ -99,8 +100,9 @@
 	peer->member->config_revision =
 		MAX(peer->member->config_revision, record->config_revision);
 	/*
-	 * It is heard, so a suspicion here is settled; others are not told,
-	 * since only its own higher version may overrule theirs.
+	 * The message itself ends a suspicion at this node. That is not spread,
+	 * since only the member's own higher version overrides the records that
+	 * other nodes have.
 	 */
 	if (alive && (peer->member->state == MEMBER_SUSPECT ||
 		      (peer->member->state == MEMBER_DEAD && peer->local))) {
@@ -109,22 +111,24 @@
 		member_table_set_state(membership->table, peer, record->state,
 				       membership->now_us);
 		if (was_dead)
-			membership_revived(membership, peer);
+			membership_handle_revival(membership, peer);
 	}
 }
 
 /*
- * Members of another region that were lost may have been replaced by others
- * meanwhile; all of them coming back would be too many.
+ * Returns whether a peer may be live again. The table may have replaced lost
+ * members of another region by others of it, and would hold too many of them if
+ * all lost ones returned.
  */
-static bool membership_wants_back(const struct membership *membership,
+static bool membership_may_revive(const struct membership *membership,
 				  const struct peer *peer)
 {
 	return peer->member->state != MEMBER_DEAD ||
-	       member_table_wants(membership->table, peer->member->region);
+	       member_table_accepts_region(membership->table,
+					   peer->member->region);
 }
 
-/* The sender's record of itself in its message, or NULL. */
+/* Returns the sender's record of itself in its message, or NULL. */
 static const struct member *
 membership_self_record(const struct peer_message *message)
 {
@@ -141,13 +145,17 @@
 }
 
 /*
- * Takes what the sender's message says of the sender. Only a node itself can
- * change its incarnation: what others say of an unknown one may be older than
- * what is known. Returns NULL for a sender that is not known and not kept, and
- * for one that was replaced, whose messages are to be ignored.
+ * Merges the sender's own record in a message. Only a node itself can change
+ * its incarnation: another node's record with an unknown incarnation may be
+ * older than the known record. Returns the sender's peer, which the table owns.
+ * Returns NULL if the sender is unknown and not added, may not become live
+ * again, or has another incarnation without a live record of it. Also returns
+ * NULL and sets replaced if the sender was replaced: its messages are to be
+ * ignored.
  */
-struct peer *membership_hear(struct membership *membership,
-			     const struct peer_message *message, bool *replaced)
+struct peer *membership_update_sender(struct membership *membership,
+				      const struct peer_message *message,
+				      bool *replaced)
 {
 	const struct member *record = membership_self_record(message);
 	struct peer *peer = member_table_find(membership->table, message->from);
@@ -155,28 +163,32 @@
 	*replaced = member_table_is_superseded(membership->table,
 					       message->incarnation) &&
 		    peer && peer->member->state != MEMBER_DEAD;
-	if (*replaced || (peer && !membership_wants_back(membership, peer)))
+	if (*replaced || (peer && !membership_may_revive(membership, peer)))
 		return NULL;
 	if (!peer)
-		return record ? membership_meet(membership, record) : NULL;
+		return record ? membership_add_member(membership, record)
+			      : NULL;
 	if (peer->member->incarnation != message->incarnation) {
 		if (!record || record->state == MEMBER_DEAD)
 			return NULL;
 		member_table_supersede(
 			membership->table, peer->member->incarnation,
-			membership->now_us + MEMBERSHIP_FORGET_US);
-		peer->left = false;
+			membership->now_us + MEMBERSHIP_DEAD_TTL_US);
+		peer->left_voluntarily = false;
 		membership_replace(membership, peer, record, "itself");
 		return peer;
 	}
 	if (record)
-		membership_hear_known(membership, peer, record);
+		membership_merge_sender(membership, peer, record);
 	return peer;
 }
 
-/* Others say something of this node. What makes it look gone is refuted. */
-void membership_hear_of_self(struct membership *membership,
-			     const struct member *record)
+/*
+ * Handles another node's record of this node: a record that marks it suspect or
+ * dead, or has a higher version, is refuted with a still higher version.
+ */
+void membership_refute(struct membership *membership,
+		       const struct member *record)
 {
 	const struct member *own = membership_own(membership);
 
@@ -185,7 +197,7 @@
 		return;
 	if (record->version > own->version || record->state == MEMBER_SUSPECT ||
 	    record->state == MEMBER_DEAD)
-		membership_raise(membership, record->version);
+		membership_raise_version(membership, record->version);
 }
 
 static int member_state_rank(enum member_state state)
@@ -202,10 +214,14 @@
 	return 2;
 }
 
-/* Whether the sender may say that this member does not answer. */
-static bool membership_may_accuse(const struct membership *membership,
-				  const struct peer *sender,
-				  const struct member *record)
+/*
+ * Returns whether a record that marks a member suspect or dead is accepted from
+ * this sender. The sender must be in the member's region, and a suspicion is
+ * accepted only within the own region.
+ */
+static bool membership_accepts_failure(const struct membership *membership,
+				       const struct peer *sender,
+				       const struct member *record)
 {
 	const char *region = membership_own(membership)->region;
 
@@ -215,43 +231,50 @@
 	       strcmp(record->region, region) == 0;
 }
 
-static void membership_hear_of_unknown(struct membership *membership,
-				       const struct member *record)
+static void membership_merge_unknown(struct membership *membership,
+				     const struct member *record)
 {
 	const struct peer *other = member_table_find_address(
 		membership->table, record->peer_address);
 
 	if (other && other->member->state != MEMBER_DEAD)
-		membership_verify(membership, record->peer_address);
+		membership_verify_address(membership, record->peer_address);
 	else if (record->state != MEMBER_DEAD)
-		membership_meet(membership, record);
+		membership_add_member(membership, record);
 }
 
-/* Takes what a message says of a node other than its sender. */
-void membership_hear_of(struct membership *membership,
-			const struct peer *sender, const struct member *record)
+/*
+ * Merges a record of a node that is neither this one nor the sender. The sender
+ * is NULL if it is unknown.
+ */
+void membership_merge_record(struct membership *membership,
+			     const struct peer *sender,
+			     const struct member *record)
 {
 	struct peer *peer = member_table_find(membership->table, record->name);
-	bool accusing = member_state_rank(record->state) > 0;
+	bool marks_failure = member_state_rank(record->state) > 0;
 
 	if (member_table_is_superseded(membership->table, record->incarnation))
 		return;
-	/* One incarnation stays at one address: anything else is made up. */
+	/* An incarnation keeps its address: a record with another is false. */
 	if (peer && peer->member->incarnation == record->incarnation &&
 	    strcmp(peer->member->peer_address, record->peer_address) != 0)
 		return;
-	if (accusing && !membership_may_accuse(membership, sender, record))
+	if (marks_failure &&
+	    !membership_accepts_failure(membership, sender, record))
 		return;
 	if (!peer) {
-		membership_hear_of_unknown(membership, record);
+		membership_merge_unknown(membership, record);
 		return;
 	}
-	if (!membership_wants_back(membership, peer))
+	if (!membership_may_revive(membership, peer))
 		return;
 	if (peer->member->incarnation != record->incarnation ||
-	    (peer->local && !accusing && peer->member->state == MEMBER_DEAD)) {
+	    (peer->local && !marks_failure &&
+	     peer->member->state == MEMBER_DEAD)) {
 		if (record->state != MEMBER_DEAD)
-			membership_verify(membership, record->peer_address);
+			membership_verify_address(membership,
+						  record->peer_address);
 		return;
 	}
 	if (record->version > peer->member->version ||
--- a/core/membership/membership_probe.c
+++ b/core/membership/membership_probe.c
@@ -1,12 +1,15 @@
 #include "core/membership/membership_state.h"
 
-#define HELPERS 3
-#define FAR_PROBE_ONE_IN 8
+#define MAX_HELPERS 3
+#define OTHER_REGION_ONE_IN 8
 #define MAX_JOIN_TARGETS 8
 #define MAX_JOIN_DOUBLINGS 4
-#define MAX_CONFIRMS 8
+#define MAX_SUSPECT_PROBES 8
 
-/* Remembers a probe that is being sent; it is dropped after five heartbeats. */
+/*
+ * Adds a pending probe, which fails after five heartbeats unless the caller
+ * sets another time. The membership owns it.
+ */
 struct probe *membership_add_probe(struct membership *membership,
 				   enum probe_kind kind, const char *address)
 {
@@ -22,7 +25,7 @@
 	return probe;
 }
 
-/* Asks who is at an address; silence means nothing. */
+/* Probes for any node at an address; a missing answer has no effect. */
 void membership_probe_address(struct membership *membership,
 			      const char *address)
 {
@@ -33,9 +36,9 @@
 }
 
 /*
- * Probes a member. Members of the own region have two fifths of a heartbeat
- * to answer and the rest of it through helpers; other regions are farther
- * away and get five times that.
+ * Probes a member. A member of the own region has two fifths of a heartbeat to
+ * answer directly and the rest of it to answer through helpers. Members of
+ * other regions are farther away and have five times as long.
  */
 void membership_probe(struct membership *membership, const struct peer *peer)
 {
@@ -43,7 +46,7 @@
 	struct probe *probe = membership_add_probe(membership, PROBE_MEMBER,
 						   peer->member->peer_address);
 
-	if (!member_table_is_near(membership->table, peer))
+	if (!member_table_in_own_region(membership->table, peer))
 		unit_us *= 5;
 	probe->name = g_strdup(peer->member->name);
 	probe->incarnation = peer->member->incarnation;
@@ -52,24 +55,28 @@
 	membership_ping(membership, probe->address, probe->number, false);
 }
 
-/* Nodes of the member's own region help: they all know it. */
-static void membership_ask_helpers(struct membership *membership,
-				   struct probe *probe)
+/*
+ * Requests indirect probes from nodes of the member's own region, which all
+ * know it.
+ */
+static void membership_request_probes(struct membership *membership,
+				      struct probe *probe)
 {
 	const struct peer *subject =
 		member_table_find(membership->table, probe->name);
-	struct pick pick = {.max = HELPERS, .except = probe->name};
+	struct pick pick = {.max = MAX_HELPERS, .except = probe->name};
 	GPtrArray *helpers = g_ptr_array_new();
 
 	probe->indirect_us = INT64_MAX;
 	if (subject) {
-		pick.near = member_table_is_near(membership->table, subject);
+		pick.own_region =
+			member_table_in_own_region(membership->table, subject);
 		pick.region = subject->member->region;
 		membership_pick(membership, &pick, helpers);
 	}
 	for (guint i = 0; i < helpers->len; i++) {
 		const struct peer *helper = g_ptr_array_index(helpers, i);
-		struct peer_message *message = membership_message(
+		struct peer_message *message = membership_create_message(
 			membership, PEER_PROBE, probe->number, probe->address);
 
 		membership_send(membership, helper->member->peer_address,
@@ -78,7 +85,7 @@
 	g_ptr_array_unref(helpers);
 }
 
-/* The probe of this number, or NULL. */
+/* Returns the pending probe with this number, or NULL. */
 struct probe *membership_find_probe(const struct membership *membership,
 				    uint64_t number)
 {
@@ -91,41 +98,45 @@
 	return NULL;
 }
 
-/* Whether a node other than this peer has been heard since that time. */
-static bool membership_hears_others(const struct membership *membership,
-				    int64_t since_us)
+/* Returns whether any message from another node arrived after since_us. */
+static bool membership_received_since(const struct membership *membership,
+				      int64_t since_us)
 {
-	return membership->received_us > since_us;
+	return membership->last_received_us > since_us;
 }
 
 /*
- * A member did not answer. A node whose own receiving side is cut gets no
- * answer from anybody; told to others, its suspicion would make all of them
- * defend themselves at once. So an accusation made in silence stays local.
- * What happens in another region is for the nodes there to say: this node only
- * stops using the member.
+ * Suspects a member that did not answer. A node that cannot receive gets no
+ * answer from any peer; if it spread its suspicions, all peers would have to
+ * refute them at once. So a suspicion stays local if no message from another
+ * node arrived since the probe. A suspicion of a member in another region stays
+ * local too, since the nodes there decide on its state: this node only stops
+ * using the member.
  */
-static void membership_accuse(struct membership *membership,
-			      const struct probe *probe)
+static void membership_suspect(struct membership *membership,
+			       const struct probe *probe)
 {
 	struct peer *peer = member_table_find(membership->table, probe->name);
 
 	if (!peer || peer->member->incarnation != probe->incarnation)
 		return;
 	if (peer->member->state == MEMBER_SUSPECT)
-		peer->accused = true;
+		peer->probe_failed = true;
 	if (!peer_is_answering(peer))
 		return;
 	member_table_set_state(membership->table, peer, MEMBER_SUSPECT,
 			       membership->now_us);
-	peer->accused = true;
-	peer->local = !member_table_is_near(membership->table, peer) ||
-		      !membership_hears_others(membership, probe->sent_us);
+	peer->probe_failed = true;
+	peer->local = !member_table_in_own_region(membership->table, peer) ||
+		      !membership_received_since(membership, probe->sent_us);
 	if (!peer->local)
 		member_table_spread(membership->table, peer);
 }
 
-/* Asks helpers where an answer is late, and suspects where it is too late. */
+/*
+ * Requests indirect probes where the direct answer is late, and suspects the
+ * members whose probes have failed.
+ */
 void membership_check_probes(struct membership *membership)
 {
 	for (guint i = membership->probes->len; i > 0; i--) {
@@ -134,28 +145,29 @@
 
 		if (membership->now_us >= probe->fail_us) {
 			if (probe->kind == PROBE_MEMBER)
-				membership_accuse(membership, probe);
+				membership_suspect(membership, probe);
 			g_ptr_array_remove_index_fast(membership->probes,
 						      i - 1);
 		} else if (membership->now_us >= probe->indirect_us) {
-			membership_ask_helpers(membership, probe);
+			membership_request_probes(membership, probe);
 		}
 	}
 }
 
 /*
- * How long a suspicion may last. A node that only heard of it waits twice as
- * long and asks the member itself in the second half: it may have missed the
- * member's defence, and then it would call a live member dead.
+ * Returns how long a suspicion lasts before the member is dead, in us. A node
+ * that only received the suspicion waits twice as long and probes the member
+ * itself in the second half: it may have missed the member's refutation and
+ * would otherwise declare a live member dead.
  */
-int64_t membership_patience_us(const struct membership *membership,
-			       const struct peer *peer)
+int64_t membership_suspect_timeout_us(const struct membership *membership,
+				      const struct peer *peer)
 {
-	return peer->accused ? membership->suspect_us
-			     : 2 * membership->suspect_us;
+	return peer->probe_failed ? membership->suspect_us
+				  : 2 * membership->suspect_us;
 }
 
-/* Logs a death; by names who found it out. */
+/* Logs a member's death; by is the node that detected it, or the reason. */
 void membership_log_dead(struct membership *membership, const struct peer *peer,
 			 const char *by)
 {
@@ -169,7 +181,7 @@
 			"region", peer->member->region, "by", by, NULL);
 }
 
-/* Calls those dead that were suspected for too long. */
+/* Declares the members dead whose suspicion has timed out. */
 void membership_check_suspects(struct membership *membership)
 {
 	const GPtrArray *all = member_table_all(membership->table);
@@ -180,8 +192,8 @@
 
 		if (peer->member->state != MEMBER_SUSPECT ||
 		    membership->now_us <
-			    peer->changed_us +
-				    membership_patience_us(membership, peer))
+			    peer->changed_us + membership_suspect_timeout_us(
+						       membership, peer))
 			continue;
 		member_table_set_state(membership->table, peer, MEMBER_DEAD,
 				       membership->now_us);
@@ -192,19 +204,19 @@
 	}
 }
 
-/* Asks suspects once more in each heartbeat, so that they can defend. */
-void membership_confirm_suspects(struct membership *membership)
+/* Probes suspects again in each heartbeat, so that they can refute it. */
+void membership_probe_suspects(struct membership *membership)
 {
 	const GPtrArray *all = member_table_all(membership->table);
-	int32_t left = MAX_CONFIRMS;
+	int32_t left = MAX_SUSPECT_PROBES;
 
 	for (guint i = 0; i < all->len && left > 0; i++) {
 		const struct peer *peer = g_ptr_array_index(
-			all, (i + membership->heartbeats) % all->len);
+			all, (i + membership->heartbeat_count) % all->len);
 		int64_t age_us = membership->now_us - peer->changed_us;
 
 		if (peer->member->state != MEMBER_SUSPECT ||
-		    (!peer->accused && age_us < membership->suspect_us))
+		    (!peer->probe_failed && age_us < membership->suspect_us))
 			continue;
 		membership_probe_address(membership,
 					 peer->member->peer_address);
@@ -212,8 +224,8 @@
 	}
 }
 
-/* The next member of the own region in a shuffled round, or NULL. */
-static struct peer *membership_next_near(struct membership *membership)
+/* Returns the next member of the own region in a shuffled round, or NULL. */
+static struct peer *membership_next_in_region(struct membership *membership)
 {
 	const GPtrArray *all = member_table_all(membership->table);
 	GPtrArray *round = membership->round;
@@ -226,7 +238,7 @@
 
 			if (!membership_is_self(membership, peer) &&
 			    peer->member->state != MEMBER_DEAD &&
-			    member_table_is_near(membership->table, peer))
+			    member_table_in_own_region(membership->table, peer))
 				g_ptr_array_insert(
 					round, at,
 					g_strdup(peer->member->name));
@@ -244,17 +256,20 @@
 	return NULL;
 }
 
-/* Whom to probe next: mostly the own region. NULL: nobody is known. */
+/*
+ * Returns the member to probe next, mostly one of the own region, or NULL if no
+ * other member is known.
+ */
 struct peer *membership_next_target(struct membership *membership)
 {
-	bool far =
-		g_rand_int_range(membership->random, 0, FAR_PROBE_ONE_IN) == 0;
+	bool other_regions = g_rand_int_range(membership->random, 0,
+					      OTHER_REGION_ONE_IN) == 0;
 	const struct pick pick = {.max = 1};
 	GPtrArray *picked;
 	struct peer *peer = NULL;
 
-	if (!far)
-		peer = membership_next_near(membership);
+	if (!other_regions)
+		peer = membership_next_in_region(membership);
 	if (peer)
 		return peer;
 	picked = g_ptr_array_new();
@@ -262,7 +277,7 @@
 	if (picked->len)
 		peer = g_ptr_array_index(picked, 0);
 	g_ptr_array_unref(picked);
-	return peer ? peer : membership_next_near(membership);
+	return peer ? peer : membership_next_in_region(membership);
 }
 
 static bool membership_is_lost_address(const struct membership *membership,
@@ -274,7 +289,10 @@
 	return !peer || peer->member->state == MEMBER_DEAD;
 }
 
-/* Addresses where a node may be that this one does not know as live. */
+/*
+ * Returns the addresses of seeds at which no live member is known, and of dead
+ * members. The caller owns the array but not the strings.
+ */
 static GPtrArray *membership_lost_addresses(const struct membership *membership)
 {
 	const GPtrArray *all = member_table_all(membership->table);
@@ -309,7 +327,7 @@
 	g_ptr_array_unref(addresses);
 }
 
-/* Asks who is at an address, unless a live member is known there. */
+/* Probes an address unless a member that is not dead is known there. */
 void membership_ask(struct membership *membership, const char *address,
 		    int64_t now_us, struct action_list *actions)
 {
@@ -322,16 +340,20 @@
 	membership->actions = NULL;
 }
 
-/* Alone: asks seeds and lost members, ever more slowly, never in step. */
+/*
+ * Probes seeds and dead members while no other member is known. The delay
+ * doubles up to a limit and is random, so that nodes do not probe in step.
+ */
 void membership_join(struct membership *membership)
 {
-	int64_t delay_us = membership->heartbeat_us
-			   << MIN(membership->joins, MAX_JOIN_DOUBLINGS);
+	int64_t delay_us =
+		membership->heartbeat_us
+		<< MIN(membership->join_attempts, MAX_JOIN_DOUBLINGS);
 
 	if (membership->now_us < membership->next_join_us)
 		return;
 	membership_probe_lost(membership, MAX_JOIN_TARGETS);
-	membership->joins++;
+	membership->join_attempts++;
 	membership->next_join_us =
 		membership->now_us +
 		(int64_t)((double)delay_us *
@@ -339,15 +361,16 @@
 }
 
 /*
- * Two halves of a parted network each hold the other for dead, and would never
- * meet again if the dead were not asked now and then. One that answers makes
- * the next questions come faster.
+ * Probes one dead member or seed at intervals. After a network partition each
+ * side has marked the other dead, and the two would never merge without these
+ * probes. Once a dead member answers, the next probes follow faster.
  */
 void membership_rejoin(struct membership *membership)
 {
-	if (membership->rejoins_left > 0)
-		membership->rejoins_left--;
-	else if (membership->heartbeats % MEMBERSHIP_REJOIN_HEARTBEATS != 0)
+	if (membership->rejoin_probes_left > 0)
+		membership->rejoin_probes_left--;
+	else if (membership->heartbeat_count % MEMBERSHIP_REJOIN_HEARTBEATS !=
+		 0)
 		return;
 	membership_probe_lost(membership, 1);
 }
--- a/core/membership/membership_receive.c
+++ b/core/membership/membership_receive.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-#define MAX_GOSSIP_TAKEN 32
+#define MAX_GOSSIP_RECORDS 32
 #define MAX_RELAYS 64
 #define MAX_VERSION ((uint64_t)1 << 62)
 
-static bool member_is_sane(const struct member *member)
+static bool member_is_valid(const struct member *member)
 {
 	return member && member->name && *member->name &&
 	       member->peer_address && *member->peer_address &&
@@ -16,35 +16,35 @@
 	       member->state <= MEMBER_DEAD && member->config_revision >= 0;
 }
 
-static bool peer_message_is_sane(const struct peer_message *message)
+static bool peer_message_is_valid(const struct peer_message *message)
 {
 	if (message->type != PEER_PING && message->type != PEER_ACK &&
 	    message->type != PEER_PROBE)
 		return false;
 	if (!message->from || !*message->from || !message->from_address ||
 	    !*message->from_address || message->incarnation == 0 ||
-	    message->probe.members->len > MAX_GOSSIP_TAKEN)
+	    message->probe.members->len > MAX_GOSSIP_RECORDS)
 		return false;
 	if (message->type == PEER_PROBE &&
 	    (!message->probe.subject || !*message->probe.subject))
 		return false;
 	for (guint i = 0; i < message->probe.members->len; i++) {
-		if (!member_is_sane(
+		if (!member_is_valid(
 			    g_ptr_array_index(message->probe.members, i)))
 			return false;
 	}
 	return true;
 }
 
-/* Nonsense is dropped and logged, at most one line in a heartbeat. */
+/* Logs a malformed message, at most one line per heartbeat. */
 static void membership_reject(struct membership *membership,
 			      const struct peer_message *message)
 {
-	if (membership->logged_us &&
+	if (membership->rejection_logged_us &&
 	    membership->now_us <
-		    membership->logged_us + membership->heartbeat_us)
+		    membership->rejection_logged_us + membership->heartbeat_us)
 		return;
-	membership->logged_us = membership->now_us;
+	membership->rejection_logged_us = membership->now_us;
 	action_list_log(
 		membership->actions, LOG_LEVEL_WARN, "member_message_rejected",
 		"type", peer_message_type_name(message->type), "from",
@@ -52,13 +52,16 @@
 		message->from_address ? message->from_address : "", NULL);
 }
 
-/* Answers a ping; the own record where it is asked for or has changed. */
+/*
+ * Answers a ping. The answer carries the own record if it is requested or has
+ * changed, or if the sender is unknown or new.
+ */
 static void membership_answer(struct membership *membership,
 			      const struct peer_message *message,
 			      const struct peer *sender)
 {
 	struct peer *self = member_table_self(membership->table);
-	struct peer_message *ack = membership_message(
+	struct peer_message *ack = membership_create_message(
 		membership, PEER_ACK, message->probe.number, "");
 	bool introduce = message->probe.subject && *message->probe.subject;
 
@@ -71,7 +74,7 @@
 	membership_send(membership, message->from_address, ack);
 }
 
-/* Probes for another node; only where a member is known to be. */
+/* Probes for another node, but only an address where a member is known. */
 static void membership_relay(struct membership *membership,
 			     const struct peer_message *message)
 {
@@ -90,35 +93,35 @@
 		return;
 	probe = membership_add_probe(membership, PROBE_RELAY,
 				     message->probe.subject);
-	probe->asker = g_strdup(message->from_address);
-	probe->asker_number = message->probe.number;
+	probe->requester = g_strdup(message->from_address);
+	probe->requester_number = message->probe.number;
 	membership_ping(membership, probe->address, probe->number, true);
 }
 
-/* Passes an answer on, with what the subject said of itself. */
+/* Forwards an answer to the requester, with the subject's known record. */
 static void membership_answer_relay(struct membership *membership,
 				    const struct probe *probe)
 {
-	struct peer_message *ack = membership_message(
-		membership, PEER_ACK, probe->asker_number, probe->address);
+	struct peer_message *ack = membership_create_message(
+		membership, PEER_ACK, probe->requester_number, probe->address);
 
 	member_list_add(
 		ack->probe.members,
 		member_table_find_address(membership->table, probe->address));
-	membership_send(membership, probe->asker, ack);
+	membership_send(membership, probe->requester, ack);
 }
 
-static void membership_take_ack(struct membership *membership,
-				const struct peer_message *message,
-				const struct peer *sender)
+static void membership_handle_ack(struct membership *membership,
+				  const struct peer_message *message,
+				  const struct peer *sender)
 {
 	struct probe *probe =
 		membership_find_probe(membership, message->probe.number);
 
 	if (sender && membership_has_quorum(membership) &&
-	    (member_table_is_near(membership->table, sender) ||
-	     membership_is_alone_near(membership)))
-		membership->quorum_us = membership->now_us;
+	    (member_table_in_own_region(membership->table, sender) ||
+	     membership_is_alone_in_region(membership)))
+		membership->last_quorum_us = membership->now_us;
 	if (!probe)
 		return;
 	if (probe->kind == PROBE_RELAY)
@@ -126,8 +129,8 @@
 	g_ptr_array_remove_fast(membership->probes, probe);
 }
 
-static void membership_take(struct membership *membership,
-			    const struct peer_message *message)
+static void membership_handle_message(struct membership *membership,
+				      const struct peer_message *message)
 {
 	const struct member *own = membership_own(membership);
 	const struct peer *sender;
@@ -135,8 +138,8 @@
 
 	if (strcmp(message->from, own->name) == 0)
 		return;
-	membership->received_us = membership->now_us;
-	sender = membership_hear(membership, message, &replaced);
+	membership->last_received_us = membership->now_us;
+	sender = membership_update_sender(membership, message, &replaced);
 	if (replaced)
 		return;
 	for (guint i = 0; i < message->probe.members->len; i++) {
@@ -144,21 +147,21 @@
 			g_ptr_array_index(message->probe.members, i);
 
 		if (strcmp(record->name, own->name) == 0)
-			membership_hear_of_self(membership, record);
+			membership_refute(membership, record);
 		else if (strcmp(record->name, message->from) != 0)
-			membership_hear_of(membership, sender, record);
+			membership_merge_record(membership, sender, record);
 	}
 	if (message->type == PEER_PING)
 		membership_answer(membership, message, sender);
 	else if (message->type == PEER_PROBE)
 		membership_relay(membership, message);
 	else
-		membership_take_ack(membership, message, sender);
+		membership_handle_ack(membership, message, sender);
 }
 
 /*
- * Takes a PING, ACK or PROBE and appends the answers. Anything malformed and
- * any other type is dropped with a log line.
+ * Handles a PING, ACK or PROBE at now_us and appends the answers to actions. A
+ * malformed message or one of another type is dropped and logged.
  */
 void membership_receive(struct membership *membership,
 			const struct peer_message *message, int64_t now_us,
@@ -166,8 +169,8 @@
 {
 	membership->now_us = MAX(membership->now_us, now_us);
 	membership->actions = actions;
-	if (peer_message_is_sane(message))
-		membership_take(membership, message);
+	if (peer_message_is_valid(message))
+		membership_handle_message(membership, message);
 	else
 		membership_reject(membership, message);
 	membership_schedule(membership);
--- a/core/membership/membership_state.h
+++ b/core/membership/membership_state.h
@@ -11,31 +11,33 @@
 G_BEGIN_DECLS
 
 /*
- * What the parts of the membership share. membership.c: the life of it and
- * what is due when. membership_probe.c: who is asked, and what silence means.
- * membership_gossip.c: what rides on the messages. membership_hear.c: what is
- * believed of what others say. membership_receive.c: messages.
+ * The state that the parts of the membership share. membership.c: creation,
+ * timing and the public queries. membership_probe.c: probes and suspicions.
+ * membership_gossip.c: outgoing messages and the records they carry.
+ * membership_hear.c: merging of records that were received.
+ * membership_receive.c: validation and handling of incoming messages.
  */
 
-#define MEMBERSHIP_FORGET_US (900 * G_USEC_PER_SEC)
+/* How long dead peers and replaced incarnations are kept. */
+#define MEMBERSHIP_DEAD_TTL_US (900 * G_USEC_PER_SEC)
 #define MEMBERSHIP_REJOIN_HEARTBEATS 25
 
 enum probe_kind {
-	PROBE_MEMBER,  /* no answer: the member is suspected */
-	PROBE_ADDRESS, /* who answers there, if anybody */
-	PROBE_RELAY    /* for another node */
+	PROBE_MEMBER,  /* without an answer the member is suspected */
+	PROBE_ADDRESS, /* finds the node at an address, if any */
+	PROBE_RELAY    /* indirect probe for another node */
 };
 
 struct probe {
 	uint64_t number;
 	enum probe_kind kind;
-	uint64_t incarnation; /* member: the one that was asked */
-	char *name;	      /* member */
+	uint64_t incarnation; /* PROBE_MEMBER: the probed one */
+	char *name;	      /* PROBE_MEMBER */
 	char *address;
-	char *asker; /* relay: peer address */
-	uint64_t asker_number;
+	char *requester; /* PROBE_RELAY: peer address */
+	uint64_t requester_number;
 	int64_t sent_us;
-	int64_t indirect_us; /* ask helpers then; INT64_MAX: asked */
+	int64_t indirect_us; /* when to request indirect probes, or INT64_MAX */
 	int64_t fail_us;
 };
 
@@ -46,30 +48,30 @@
 	int64_t suspect_us;
 	GRand *random;
 	GPtrArray *probes; /* struct probe */
-	GPtrArray *round;  /* char *: names still to be probed, at the end */
+	GPtrArray *round;  /* char *: names still to be probed, last first */
 	uint64_t next_number;
 	int64_t now_us;
 	int64_t next_heartbeat_us;
 	int64_t next_due_us;
 	int64_t next_join_us;
-	int64_t received_us; /* any record from another node */
-	int64_t quorum_us;
-	int64_t logged_us;
-	uint32_t heartbeats;
-	uint32_t joins;
-	int32_t rejoins_left;
-	int32_t verifies_left;
+	int64_t last_received_us; /* last message from another node */
+	int64_t last_quorum_us;
+	int64_t rejection_logged_us;
+	uint32_t heartbeat_count;
+	uint32_t join_attempts;
+	int32_t rejoin_probes_left;
+	int32_t address_probes_left;
 	bool started;
 	bool announce;
-	struct action_list *actions; /* of the step that runs */
+	struct action_list *actions; /* set during a call that takes actions */
 };
 
-/* Whom to pick from: the own region, all others, or one of them. */
+/* Selects random members: of the own region, all others or one of them. */
 struct pick {
 	size_t max;
-	bool near;
+	bool own_region;
 	const char *region; /* NULL: any other */
-	const char *except; /* a name, or NULL */
+	const char *except; /* the name of a member to leave out, or NULL */
 };
 
 /* membership_gossip.c */
@@ -84,9 +86,10 @@
 			    const struct peer *peer);
 void membership_add_gossip(struct membership *membership, const struct peer *to,
 			   GPtrArray *members);
-struct peer_message *membership_message(const struct membership *membership,
-					enum peer_message_type type,
-					uint64_t number, const char *subject);
+struct peer_message *
+membership_create_message(const struct membership *membership,
+			  enum peer_message_type type, uint64_t number,
+			  const char *subject);
 void membership_send(struct membership *membership, const char *address,
 		     struct peer_message *message);
 void membership_ping(struct membership *membership, const char *address,
@@ -102,30 +105,31 @@
 struct probe *membership_find_probe(const struct membership *membership,
 				    uint64_t number);
 void membership_check_probes(struct membership *membership);
-int64_t membership_patience_us(const struct membership *membership,
-			       const struct peer *peer);
+int64_t membership_suspect_timeout_us(const struct membership *membership,
+				      const struct peer *peer);
 void membership_log_dead(struct membership *membership, const struct peer *peer,
 			 const char *by);
 void membership_check_suspects(struct membership *membership);
-void membership_confirm_suspects(struct membership *membership);
+void membership_probe_suspects(struct membership *membership);
 struct peer *membership_next_target(struct membership *membership);
 void membership_join(struct membership *membership);
 void membership_rejoin(struct membership *membership);
 
 /* membership_hear.c */
-struct peer *membership_hear(struct membership *membership,
-			     const struct peer_message *message,
-			     bool *replaced);
-void membership_hear_of_self(struct membership *membership,
+struct peer *membership_update_sender(struct membership *membership,
+				      const struct peer_message *message,
+				      bool *replaced);
+void membership_refute(struct membership *membership,
+		       const struct member *record);
+void membership_merge_record(struct membership *membership,
+			     const struct peer *sender,
 			     const struct member *record);
-void membership_hear_of(struct membership *membership,
-			const struct peer *sender, const struct member *record);
 
 /* membership.c */
 bool membership_has_quorum(const struct membership *membership);
-bool membership_is_alone_near(const struct membership *membership);
+bool membership_is_alone_in_region(const struct membership *membership);
 void membership_schedule(struct membership *membership);
-void membership_raise(struct membership *membership, uint64_t above);
+void membership_raise_version(struct membership *membership, uint64_t above);
 
 G_END_DECLS
 
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -41,7 +41,7 @@
 					   (int64_t)(seconds * second_us));
 	}
 
-	/* Seconds until the condition holds, or limit. */
+	/* Returns the seconds until the condition holds, or limit. */
 	double run_until(const std::function<bool()> &condition, double limit)
 	{
 		double seconds = 0;
@@ -58,7 +58,7 @@
 		return member_network_has_converged(network);
 	}
 
-	void settle()
+	void start_and_converge()
 	{
 		start_all();
 		ASSERT_LT(run_until([this] { return converged(); }, 60), 60);
@@ -109,8 +109,9 @@
 };
 
 /*
- * All nodes of a region start in the same instant, after an outage say, and
- * know three seeds. Callers must soon be told of all of them.
+ * All nodes of a region start at the same instant, for example after an outage,
+ * and know three seeds. Callers are told of all nodes, so the nodes must soon
+ * know each other.
  */
 TEST(Membership, AllStartedAtOnceFindEachOther)
 {
@@ -145,9 +146,9 @@
 }
 
 /*
- * A VM is lost without a word. Nodes go on sending to it until they know; the
- * bound is a heartbeat or two until one probes it, one to suspect it, the
- * suspicion, and the spreading.
+ * A VM is lost without a notice, and nodes send to it until they detect that.
+ * The bound is one or two heartbeats until a node probes it, one to suspect it,
+ * the suspicion timeout and the time to spread the result.
  */
 TEST(Membership, FindsAStoppedNodeInBoundedTime)
 {
@@ -156,7 +157,7 @@
 	for (uint32_t seed = 1; seed <= 6; seed++) {
 		Network network(seed % 3 ? 8 : 48, 1, seed);
 
-		network.settle();
+		network.start_and_converge();
 		member_network_stop(network.network, 5);
 		worst = std::max(
 			worst,
@@ -169,17 +170,17 @@
 }
 
 /*
- * One record in twenty, or in ten, is lost. A node called dead falsely would
- * lose its shards and its callers; its defence must always come first.
+ * One message in twenty, or in ten, is lost. A node falsely declared dead would
+ * lose its shards and its callers, so its refutation must always come first.
  */
-TEST(Membership, CallsNobodyDeadAtTenPercentLoss)
+TEST(Membership, DeclaresNobodyDeadAtTenPercentLoss)
 {
 	uint64_t deaths = 0, node_seconds = 0;
 
 	for (uint32_t seed = 1; seed <= 16; seed++) {
 		Network network(seed % 2 ? 8 : 48, 1, seed);
 
-		network.settle();
+		network.start_and_converge();
 		member_network_set_loss(network.network, seed % 4 ? 0.1 : 0.05);
 		network.run(40);
 		deaths += network.totals()->deaths;
@@ -193,13 +194,13 @@
 
 /*
  * The link from one node to another is cut in one direction only. Their direct
- * probes fail; those through other nodes do not, and both stay members.
+ * probes fail, but indirect probes succeed, and both stay members.
  */
 TEST(Membership, KeepsNodesBehindAOneWayCut)
 {
 	Network network(8);
 
-	network.settle();
+	network.start_and_converge();
 	member_network_cut(network.network, 1, 2, true);
 	member_network_cut(network.network, 3, 4, true);
 	network.run(60);
@@ -208,14 +209,14 @@
 }
 
 /*
- * The link between two nodes is cut both ways. Neither hears the other, but
- * the helpers of their probes do: neither is even suspected.
+ * The link between two nodes is cut in both directions. Indirect probes through
+ * other nodes succeed, so neither node is even suspected.
  */
 TEST(Membership, SuspectsNobodyBehindOneCutLink)
 {
 	Network network(8);
 
-	network.settle();
+	network.start_and_converge();
 	network.cut_both(1, 2, true);
 	EXPECT_GE(network.run_until([&] { return network.any_suspect(); }, 60),
 		  60);
@@ -223,15 +224,16 @@
 }
 
 /*
- * A node hears nothing more, but is heard. Its probes seem to fail at every
- * peer; if it told others, they would call each other dead. Only the deaf node
- * goes, it knows that it lacks a quorum, and it comes back when mended.
+ * A node can send but no longer receive, so its probes fail at every peer. If
+ * it spread its suspicions, the others would declare each other dead. Only this
+ * node is removed, it detects that it has no quorum, and it returns once it can
+ * receive again.
  */
-TEST(Membership, ADeafNodeAccusesNobodyElse)
+TEST(Membership, ADeafNodeSpreadsNoSuspicion)
 {
 	Network network(8);
 
-	network.settle();
+	network.start_and_converge();
 	for (uint32_t i = 0; i < 8; i++)
 		member_network_cut(network.network, i, 7, i != 7);
 	EXPECT_LT(network.run_until(
@@ -240,7 +242,7 @@
 	network.run(30);
 	for (uint32_t i = 0; i < 7; i++) {
 		EXPECT_EQ(7u, membership_count(network.get(i)));
-		/* Nobody had to defend itself. */
+		/* No node had to refute a suspicion. */
 		EXPECT_EQ(1u, membership_self(network.get(i))->version);
 	}
 	EXPECT_GT(member_network_now_us(network.network) -
@@ -253,16 +255,16 @@
 }
 
 /*
- * A VM is paused for half a minute. The others call it dead. Awake again, it
- * must not call them dead for what it missed, and must be taken back as the
- * incarnation it was.
+ * A VM is paused for half a minute and the others declare it dead. When it
+ * resumes, it must not declare them dead because of the answers it missed, and
+ * it must become a member again with the same incarnation.
  */
 TEST(Membership, APausedNodeComesBack)
 {
 	for (uint32_t seed = 1; seed <= 10; seed++) {
 		Network network(8, 1, seed);
 
-		network.settle();
+		network.start_and_converge();
 		member_network_pause(network.network, 6,
 				     member_network_now_us(network.network) +
 					     30 * second_us);
@@ -278,17 +280,18 @@
 }
 
 /*
- * A node is paused while it suspects others, since records were lost. When it
- * wakes, its suspicions have long run out; it must ask before it judges.
+ * A node is paused while it suspects others because messages were lost. When it
+ * resumes, its suspicions have long expired; it must probe the members again
+ * before it declares them dead.
  */
-TEST(Membership, APausedNodeDoesNotJudgeByOldSuspicions)
+TEST(Membership, APausedNodeDropsOldSuspicions)
 {
 	uint64_t suspects = 0;
 
 	for (uint32_t seed = 1; seed <= 40; seed++) {
 		Network network(8, 1, seed);
 
-		network.settle();
+		network.start_and_converge();
 		member_network_set_loss(network.network, 0.6);
 		network.run(0.9);
 		for (uint32_t i = 0; i < 8; i++)
@@ -309,16 +312,16 @@
 }
 
 /*
- * A VM is replaced within a second under the same name and address. Callers'
- * ids name an incarnation, so the new one must be known as another node at
- * once, and old news of the old one must not bring it back.
+ * A VM is replaced within a second under the same name and address. The ids
+ * that callers hold contain the incarnation, so the new one must be known as
+ * another node at once, and old records must not restore the old one.
  */
 TEST(Membership, AReplacedNodeSupersedesTheOldOne)
 {
 	for (uint32_t seed = 1; seed <= 6; seed++) {
 		Network network(seed % 3 ? 8 : 48, 1, seed);
 
-		network.settle();
+		network.start_and_converge();
 		member_network_stop(network.network, 4);
 		network.run(0.1 * seed);
 		member_network_start(network.network, 4);
@@ -331,12 +334,12 @@
 	}
 }
 
-/* Another node takes a lost node's address: two names, one place. */
+/* A node with another name takes over the address of a lost node. */
 TEST(Membership, AnotherNameAtTheSameAddressReplacesTheOldOne)
 {
 	Network network(8);
 
-	network.settle();
+	network.start_and_converge();
 	struct action_list *actions = action_list_create();
 	struct peer_message *message = peer_message_create(PEER_PING);
 	const struct member *old = membership_find(
@@ -359,13 +362,13 @@
 	action_list_destroy(actions);
 }
 
-/* A third of a region goes at once; the rest agrees and keeps its quorum. */
+/* A third of a region fails at once; the rest converges and has a quorum. */
 TEST(Membership, SurvivesTheLossOfAFailureDomain)
 {
 	for (uint32_t nodes : {9u, 48u}) {
 		Network network(nodes);
 
-		network.settle();
+		network.start_and_converge();
 		for (uint32_t i = 0; i < nodes; i++) {
 			if (member_network_domain(network.network, i) == 1)
 				member_network_stop(network.network, i);
@@ -382,16 +385,17 @@
 }
 
 /*
- * Three of eight nodes are parted from the others for five minutes. The three
- * must know that they are the few, however long it lasts, and the eight must
- * find each other again although each side holds the other for dead.
+ * A network partition separates three of eight nodes from the others for five
+ * minutes and longer. The three must detect for all that time that they are the
+ * minority, and the eight must find each other again although each side has
+ * declared the other dead.
  */
-TEST(Membership, AMinorityKnowsItselfAndComesBack)
+TEST(Membership, AMinorityHasNoQuorumAndComesBack)
 {
 	for (uint32_t seed = 1; seed <= 2; seed++) {
 		Network network(8, 1, seed);
 
-		network.settle();
+		network.start_and_converge();
 		for (uint32_t a = 0; a < 3; a++) {
 			for (uint32_t b = 3; b < 8; b++)
 				network.cut_both(a, b, true);
@@ -422,12 +426,15 @@
 	}
 }
 
-/* A draining node is out of the answers to callers well within a second. */
-TEST(Membership, LeavingIsKnownAtOnce)
+/*
+ * Answers to callers must leave out a draining node well within a second, so
+ * all other nodes must know by then that it leaves.
+ */
+TEST(Membership, LeavingIsAnnouncedAtOnce)
 {
 	Network network(8);
 
-	network.settle();
+	network.start_and_converge();
 	member_network_leave(network.network, 2);
 	EXPECT_LT(network.run_until(
 			  [&] { return network.all_know(2, MEMBER_LEAVING); },
@@ -448,15 +455,15 @@
 }
 
 /*
- * Six regions. Every node knows all of its own region and at most six of each
- * other one; when two regions lose each other for minutes nobody in them is
- * called dead at home, and they find each other again.
+ * With six regions every node knows all members of its own region and at most
+ * six of each other one. When two regions lose their links for minutes, no
+ * member is declared dead in its own region, and they find each other again.
  */
-TEST(Membership, KnowsLittleOfOtherRegionsAndFindsThemAgain)
+TEST(Membership, LimitsOtherRegionsAndFindsThemAgain)
 {
 	Network network(72, 6);
 
-	network.settle();
+	network.start_and_converge();
 	network.run(30);
 	EXPECT_LE(largest_view(network), 12u + 5 * 6);
 	auto count_of = [&](uint32_t node, const char *region) {
@@ -488,12 +495,12 @@
 	EXPECT_LE(largest_view(network), 12u + 5 * 6);
 }
 
-class Nonsense : public testing::Test
+class MembershipInput : public testing::Test
 {
       protected:
 	void SetUp() override
 	{
-		network.settle();
+		network.start_and_converge();
 		membership = network.get(0);
 		now_us = member_network_now_us(network.network);
 		actions = action_list_create();
@@ -534,7 +541,7 @@
 	int64_t now_us = 0;
 };
 
-TEST_F(Nonsense, MalformedMessagesChangeNothing)
+TEST_F(MembershipInput, MalformedMessagesChangeNothing)
 {
 	uint64_t epoch = membership_epoch(membership);
 	struct peer_message *message = make(PEER_PLACE);
@@ -559,7 +566,7 @@
 		EXPECT_EQ(ACTION_LOG, action_list_get(actions, i)->type);
 }
 
-TEST_F(Nonsense, StrangersCannotAccuseOrMoveMembers)
+TEST_F(MembershipInput, StrangersCannotSuspectOrMoveMembers)
 {
 	uint64_t epoch = membership_epoch(membership);
 	struct peer_message *message = make(PEER_PING);
@@ -577,8 +584,8 @@
 	g_ptr_array_add(message->probe.members, member);
 	receive(message);
 	EXPECT_EQ(epoch, membership_epoch(membership));
-	/* What may be a new incarnation is asked itself. */
-	bool asked = false;
+	/* A possibly new incarnation is verified at the member's address. */
+	bool probed = false;
 	std::string address =
 		membership_find(membership,
 				member_network_name(network.network, 3))
@@ -586,17 +593,17 @@
 	for (size_t i = 0; i < action_list_count(actions); i++) {
 		struct action *action = action_list_get(actions, i);
 
-		asked |= action->type == ACTION_PEER_SEND &&
-			 address == action->peer_send.peer_address;
+		probed |= action->type == ACTION_PEER_SEND &&
+			  address == action->peer_send.peer_address;
 	}
-	EXPECT_TRUE(asked);
+	EXPECT_TRUE(probed);
 }
 
 /*
- * A node was replaced, and the old process wakes up on its old VM and speaks
- * once more. It must not take the name back from the one that runs.
+ * A node was replaced, and the old process on its old VM resumes and sends
+ * again. It must not take the name back from the new one.
  */
-TEST_F(Nonsense, AReplacedProcessIsNotHeardAnyMore)
+TEST_F(MembershipInput, AReplacedProcessIsIgnored)
 {
 	const char *name = member_network_name(network.network, 1);
 	struct member *old = copy_of(1);
@@ -619,7 +626,7 @@
 	member_destroy(old);
 }
 
-TEST_F(Nonsense, RefutesWhatIsSaidOfItselfWithinBounds)
+TEST_F(MembershipInput, RefutesRecordsOfItselfWithinBounds)
 {
 	uint64_t version = membership_self(membership)->version;
 	struct peer_message *message = make(PEER_ACK);
@@ -640,7 +647,7 @@
 	EXPECT_EQ(version + 1, membership_self(membership)->version);
 }
 
-TEST_F(Nonsense, ProbesOnlyMembersForOthers)
+TEST_F(MembershipInput, ProbesOnlyMembersForOthers)
 {
 	struct peer_message *message = make(PEER_PROBE);
 
