--- a/core/placement/admission.c
+++ b/core/placement/admission.c
@@ -3,73 +3,79 @@
 #include <math.h>
 
 /*
- * Chance p that a request outlives a horizon becomes p^f when all hazards
- * shrink by a factor f. The slope of that in log f, -p ln p, is close to
- * p (1 - p) times this over the range that matters, without a logarithm.
+ * If all hazards shrink by a factor f, the probability p that a request
+ * outlives a horizon becomes p^f. The derivative with respect to log f is
+ * p ln p; its size, -p ln p, is close to p (1 - p) times this constant over the
+ * relevant range, which saves the logarithm.
  */
-#define SHARED_SLOPE 1.4
+#define COMMON_SLOPE 1.4
 
-/* Growing by the factor 1.6, so that the last is past any usual answer. */
+/*
+ * In tokens. They grow by a factor of about 1.6, so that the last one exceeds
+ * any usual answer.
+ */
 static const int64_t horizons[ADMISSION_HORIZONS] = {
 	0,   12,  20,  32,   51,   82,	 131,  210,
 	336, 537, 859, 1374, 2199, 3518, 5629, 12000,
 };
 
 /*
- * What a request that holds its prompt and what it has made will hold at each
- * horizon. max_tokens 0: no bound.
+ * Computes the expected memory at each horizon of a request that holds its
+ * prompt and the tokens generated so far (made). max_tokens 0: no limit.
  */
 void admission_demand_fill(struct admission_demand *demand,
 			   const struct length_curve *curve,
 			   int64_t prompt_tokens, int64_t made,
 			   int64_t max_tokens)
 {
-	double now = length_curve_survival(curve, made);
+	double survival_now = length_curve_survival(curve, made);
 	int64_t held = prompt_tokens + made;
 
 	for (int32_t i = 0; i < ADMISSION_HORIZONS; i++) {
-		int64_t u = horizons[i];
-		double lives = 0;
-		double size = (double)(held + u);
-
-		if (u == 0)
-			lives = 1;
-		else if (max_tokens <= 0 || made + u < max_tokens)
-			lives = length_curve_survival(curve, made + u) / now;
-		demand->mean[i] = (float)(size * lives);
+		int64_t offset = horizons[i];
+		double survival = 0;
+		double size = (double)(held + offset);
+
+		if (offset == 0)
+			survival = 1;
+		else if (max_tokens <= 0 || made + offset < max_tokens)
+			survival = length_curve_survival(curve, made + offset) /
+				   survival_now;
+		demand->mean[i] = (float)(size * survival);
 		demand->variance[i] =
-			(float)(size * size * lives * (1 - lives));
-		demand->shared[i] =
-			(float)(SHARED_SLOPE * size * lives * (1 - lives));
+			(float)(size * size * survival * (1 - survival));
+		demand->common[i] = (float)(COMMON_SLOPE * size * survival *
+					    (1 - survival));
 	}
 }
 
-/* Adds a request to what an engine holds. */
+/* Adds the demand of a request to the load of an engine. */
 void admission_load_add(struct admission_load *load,
 			const struct admission_demand *demand)
 {
 	for (int32_t i = 0; i < ADMISSION_HORIZONS; i++) {
 		load->mean[i] += demand->mean[i];
 		load->variance[i] += demand->variance[i];
-		load->shared[i] += demand->shared[i];
+		load->common[i] += demand->common[i];
 	}
 }
 
-/* Takes out a request that was added with this demand. */
+/* Subtracts the demand of a request, as it was added. */
 void admission_load_remove(struct admission_load *load,
 			   const struct admission_demand *demand)
 {
 	for (int32_t i = 0; i < ADMISSION_HORIZONS; i++) {
 		load->mean[i] -= demand->mean[i];
 		load->variance[i] -= demand->variance[i];
-		load->shared[i] -= demand->shared[i];
+		load->common[i] -= demand->common[i];
 	}
 }
 
 /*
- * The most memory needed at any horizon, in tokens, with the margin, when one
- * request more is taken. Lengths of different requests are independent but
- * for one common factor, by which all are misjudged when the mix shifts.
+ * Highest memory need over all horizons, in tokens, including the margin, if
+ * the request extra is added to the load. The lengths of different requests
+ * are taken as independent except for one common factor, by which all
+ * estimates are wrong when the mix of requests shifts.
  */
 double admission_peak(const struct admission_load *load,
 		      const struct admission_demand *extra,
@@ -80,16 +86,16 @@
 	for (int32_t i = 0; i < ADMISSION_HORIZONS; i++) {
 		double mean = load->mean[i] + extra->mean[i];
 		double variance = load->variance[i] + extra->variance[i];
-		double shared =
-			margin->shared * (load->shared[i] + extra->shared[i]);
-		double all = MAX(variance, 0) + shared * shared;
+		double common =
+			margin->common * (load->common[i] + extra->common[i]);
+		double total = MAX(variance, 0) + common * common;
 
-		peak = MAX(peak, mean + margin->deviations * sqrt(all));
+		peak = MAX(peak, mean + margin->deviations * sqrt(total));
 	}
 	return peak;
 }
 
-static gint admission_known_compare(gconstpointer a, gconstpointer b)
+static gint compare_tokens_left(gconstpointer a, gconstpointer b)
 {
 	const struct admission_known *x = a;
 	const struct admission_known *y = b;
@@ -98,15 +104,17 @@
 }
 
 /*
- * The exact peak where all ends are known: just before each end, whatever
- * ends later still holds its memory, grown by as much. Sorts the array.
+ * Exact peak of memory in tokens if the ends of all requests (struct
+ * admission_known) are known. Just before each end, all requests that end
+ * later still hold their memory, and each has grown by the same number of
+ * tokens. Sorts the array.
  */
 double admission_known_peak(GArray *known)
 {
 	double peak = 0;
 	double held = 0;
 
-	g_array_sort(known, admission_known_compare);
+	g_array_sort(known, compare_tokens_left);
 	for (guint i = 0; i < known->len; i++) {
 		const struct admission_known *item =
 			&g_array_index(known, struct admission_known, i);
--- a/core/placement/admission.h
+++ b/core/placement/admission.h
@@ -9,28 +9,31 @@
 G_BEGIN_DECLS
 
 /*
- * The memory an engine will need: at each of a few horizons, so many tokens
- * from now, its mean and deviation over what runs there. Sums over requests,
- * so that one more or less costs the same at any batch.
+ * Predicts the memory that an engine will need, in tokens. For each of a few
+ * horizons, a number of tokens generated from now on, it keeps mean and
+ * variance as sums over the running requests. Adding or removing a request
+ * thus costs the same for any batch size.
  */
 #define ADMISSION_HORIZONS 16
 
+/* Expected memory of one request at each horizon. */
 struct admission_demand {
 	float mean[ADMISSION_HORIZONS];
 	float variance[ADMISSION_HORIZONS];
-	float shared[ADMISSION_HORIZONS]; /* growth if all last longer */
+	float common[ADMISSION_HORIZONS]; /* growth if all last longer */
 };
 
+/* Sum of the demands of an engine's requests. */
 struct admission_load {
 	double mean[ADMISSION_HORIZONS];
 	double variance[ADMISSION_HORIZONS];
-	double shared[ADMISSION_HORIZONS];
+	double common[ADMISSION_HORIZONS];
 };
 
-/* How careful: deviations kept free, and how far all may be wrong at once. */
+/* Safety margin of the admission. */
 struct admission_margin {
-	double deviations;
-	double shared;
+	double deviations; /* standard deviations to keep free */
+	double common;	   /* of the error common to all lengths */
 };
 
 void admission_demand_fill(struct admission_demand *demand,
@@ -45,10 +48,10 @@
 		      const struct admission_demand *extra,
 		      const struct admission_margin *margin);
 
-/* What holds memory, where its end is known. */
+/* Memory of a request whose end is known, in tokens. */
 struct admission_known {
-	int64_t held;
-	int64_t left;
+	int64_t held; /* at present */
+	int64_t left; /* still to be generated */
 };
 
 double admission_known_peak(GArray *known);
--- a/core/placement/placement.c
+++ b/core/placement/placement.c
@@ -1,25 +1,28 @@
 #include "core/placement/placement_state.h"
 
 /*
- * Life of a placement and of the requests in it: submitted, withdrawn, held.
- * Its margins and their figures: docs/POLICY.md, "Admission by future peak".
+ * Creation of a placement, and submission, withdrawal and recording of the
+ * requests in it. The margins and their values are explained in
+ * docs/POLICY.md, "Admission by future peak".
  */
 
-/* PLACEMENT_FIXED: the margin before it was learned. */
+/* The constant margin of PLACEMENT_FIXED. */
 #define FIXED_DEVIATIONS 2.5
-#define FIXED_SHARED 0.1
-#define NO_SHARED_BY_SHIFT 1e-9 /* not 0, which asks for the default */
+#define FIXED_COMMON_DEVIATION 0.1
+#define NO_COMMON_BY_SHIFT 1e-9 /* not 0, which selects the default */
 
-#define DEFAULT_SHARED 0.3
-#define DEFAULT_SHARED_BY_SHIFT 3.0
-#define DEFAULT_LEAST_CHANCE 0.5 /* docs/POLICY.md, "Order of waiting" */
+#define DEFAULT_COMMON_DEVIATION 0.3
+#define DEFAULT_COMMON_BY_SHIFT 3.0
+/* docs/POLICY.md, "Order of waiting" */
+#define DEFAULT_MIN_DEADLINE_CHANCE 0.5
 #define DEFAULT_MAX_WAITING 1024 /* requests */
-#define MARGIN_START 2.5	 /* deviations, until preemptions teach it */
+#define MARGIN_INITIAL 2.5	 /* deviations; then adapts to preemptions */
 
-#define REFILL_US G_USEC_PER_SEC /* age at which an estimate is made anew */
-#define SHORT_DIVISOR 100 /* short: under this part of an engine's memory */
-#define PATIENCE_US (60 * G_USEC_PER_SEC) /* of a request without deadline */
-#define PLAIN_START_US 100000.0		  /* until a plain call has ended */
+#define DEMAND_MAX_AGE_US G_USEC_PER_SEC /* an older estimate is recomputed */
+#define SHORT_DIVISOR 100 /* short: at most 1/100 of the largest memory */
+/* For requests without a deadline. */
+#define DEFAULT_START_WITHIN_US (60 * G_USEC_PER_SEC)
+#define PLAIN_INITIAL_US 100000.0 /* initial mean duration of plain calls */
 
 static void placed_call_free(gpointer data)
 {
@@ -33,22 +36,22 @@
 {
 	if (options->policy == PLACEMENT_FIXED) {
 		options->deviations = FIXED_DEVIATIONS;
-		options->shared = FIXED_SHARED;
-		options->shared_by_shift = NO_SHARED_BY_SHIFT;
+		options->common_deviation = FIXED_COMMON_DEVIATION;
+		options->common_deviation_by_shift = NO_COMMON_BY_SHIFT;
 	}
 	if (options->step_us <= 0)
 		options->step_us = PLACEMENT_STEP_US;
 	if (options->max_waiting <= 0)
 		options->max_waiting = DEFAULT_MAX_WAITING;
-	if (options->shared == 0)
-		options->shared = DEFAULT_SHARED;
-	if (options->least_chance == 0)
-		options->least_chance = DEFAULT_LEAST_CHANCE;
-	if (options->shared_by_shift == 0)
-		options->shared_by_shift = DEFAULT_SHARED_BY_SHIFT;
+	if (options->common_deviation == 0)
+		options->common_deviation = DEFAULT_COMMON_DEVIATION;
+	if (options->min_deadline_chance == 0)
+		options->min_deadline_chance = DEFAULT_MIN_DEADLINE_CHANCE;
+	if (options->common_deviation_by_shift == 0)
+		options->common_deviation_by_shift = DEFAULT_COMMON_BY_SHIFT;
 }
 
-/* An empty placement. The options are copied. */
+/* Creates an empty placement; the caller owns it. The options are copied. */
 struct placement *placement_create(const struct placement_options *options)
 {
 	struct placement *placement = g_new0(struct placement, 1);
@@ -58,7 +61,7 @@
 	placement_set_defaults(&placement->options);
 	placement->deviations = placement->options.deviations > 0
 					? placement->options.deviations
-					: MARGIN_START;
+					: MARGIN_INITIAL;
 	length_estimate_options_default(&lengths);
 	placement->lengths = options->lengths
 				     ? options->lengths
@@ -70,13 +73,16 @@
 	placement->books = g_ptr_array_new();
 	placement->submitted = g_ptr_array_new();
 	placement->rand = g_rand_new_with_seed((guint32)options->seed);
-	placement->divisor = 1;
-	placement->plain_us = PLAIN_START_US;
+	placement->share_divisor = 1;
+	placement->plain_duration_us = PLAIN_INITIAL_US;
 	placement->interval_us = placement->options.step_us;
 	return placement;
 }
 
-/* Frees the placement and all it holds; NULL is allowed. */
+/*
+ * Frees the placement with its endpoints and requests, but not a shared length
+ * estimate; NULL is allowed.
+ */
 void placement_destroy(struct placement *placement)
 {
 	if (!placement)
@@ -94,7 +100,7 @@
 	g_free(placement);
 }
 
-/* A request that is known; unknown tickets are counted and give NULL. */
+/* Looks up a request. Counts an unknown ticket and returns NULL for it. */
 struct placed_call *placement_find_call(struct placement *placement,
 					uint64_t ticket)
 {
@@ -106,8 +112,9 @@
 	return call;
 }
 
-/* Takes a call out of queue or book and frees it. */
-void placement_forget(struct placement *placement, struct placed_call *call)
+/* Removes a call from the queue or its endpoint and frees it. */
+void placement_remove_call(struct placement *placement,
+			   struct placed_call *call)
 {
 	if (call->book)
 		endpoint_book_remove(call->book, call);
@@ -137,11 +144,12 @@
 
 	entry->arrival_us = now_us;
 	entry->lane = QUEUE_SHORT;
-	entry->start_by_us = now_us + PATIENCE_US;
+	entry->start_by_us = now_us + DEFAULT_START_WITHIN_US;
 	if (placement->options.kind == SERVICE_PLAIN) {
 		if (call->deadline_us > 0)
-			entry->start_by_us = call->deadline_us -
-					     (int64_t)placement->plain_us;
+			entry->start_by_us =
+				call->deadline_us -
+				(int64_t)placement->plain_duration_us;
 		return;
 	}
 	if (call->deadline_us > 0)
@@ -150,9 +158,10 @@
 			(int64_t)(left * (double)placement->options.step_us /
 				  2);
 	/*
-	 * What is not known to be long goes with the short ones. After a home
-	 * is lost the next one knows nothing yet; checks that waited with the
-	 * reports would run into their deadlines, and so be learned too late.
+	 * Calls of unknown length use the short lane. A new home that replaces
+	 * a lost one has no length statistics yet: if short checks waited
+	 * behind long reports, they would miss their deadlines and their
+	 * lengths would be learned too late.
 	 */
 	if (((double)call->prompt_tokens +
 	     left * length_class_known(call->cls)) *
@@ -161,7 +170,7 @@
 		entry->lane = QUEUE_LONG;
 }
 
-static void placed_call_fill(struct placed_call *call, int64_t now_us)
+static void placed_call_fill_demand(struct placed_call *call, int64_t now_us)
 {
 	admission_demand_fill(&call->demand, length_class_curve(call->cls),
 			      call->prompt_tokens, call->made,
@@ -171,19 +180,20 @@
 }
 
 /*
- * Brings what a waiting call is expected to need up to date: one that came
- * before a shift of lengths would be let in by what was known then.
+ * Recomputes the expected memory demand of a waiting call if it is older than
+ * DEMAND_MAX_AGE_US. Otherwise a call that arrived before a shift of lengths
+ * would be admitted on outdated estimates.
  */
-void placement_refill(struct placed_call *call, int64_t now_us)
+void placement_refresh_demand(struct placed_call *call, int64_t now_us)
 {
-	if (now_us - call->demand_us > REFILL_US)
-		placed_call_fill(call, now_us);
+	if (now_us - call->demand_us > DEMAND_MAX_AGE_US)
+		placed_call_fill_demand(call, now_us);
 }
 
 static struct placed_call *
-placement_add(struct placement *placement,
-	      const struct placement_request *request, int64_t made,
-	      int64_t now_us)
+placement_add_call(struct placement *placement,
+		   const struct placement_request *request, int64_t made,
+		   int64_t now_us)
 {
 	const char *name = request->organisation ? request->organisation : "";
 	struct placed_call *call;
@@ -207,19 +217,20 @@
 		placement->queue, name, request->weight);
 	call->entry.priority = CLAMP(request->priority, 0, 9);
 	call->entry.tokens = placed_call_cost(placement, call);
-	placed_call_fill(call, now_us);
+	placed_call_fill_demand(call, now_us);
 	g_hash_table_insert(placement->calls, &call->ticket, call);
 	return call;
 }
 
 /*
- * Puts a request in the queue; the next step decides on it. A ticket that is
- * known already is ignored.
+ * Queues a request; the next placement_step() decides on it. A ticket that is
+ * already known is ignored.
  */
 void placement_submit(struct placement *placement,
 		      const struct placement_request *request, int64_t now_us)
 {
-	struct placed_call *call = placement_add(placement, request, 0, now_us);
+	struct placed_call *call =
+		placement_add_call(placement, request, 0, now_us);
 
 	if (!call)
 		return;
@@ -229,19 +240,22 @@
 	placement->recheck = true;
 }
 
-/* Takes a request out of the queue; unknown tickets are ignored. */
+/* Removes a waiting request; placed and unknown tickets are ignored. */
 void placement_withdraw(struct placement *placement, uint64_t ticket,
 			G_GNUC_UNUSED int64_t now_us)
 {
 	struct placed_call *call = placement_find_call(placement, ticket);
 
 	if (call && !call->book)
-		placement_forget(placement, call);
+		placement_remove_call(placement, call);
 }
 
-/* Books a call that is not in the queue on an endpoint. */
-void placement_put(struct placement *placement, struct placed_call *call,
-		   struct endpoint_book *book, int64_t now_us)
+/*
+ * Assigns a call that is not in the queue to an endpoint, and charges its
+ * expected cost to its organisation.
+ */
+void placement_assign(struct placement *placement, struct placed_call *call,
+		      struct endpoint_book *book, int64_t now_us)
 {
 	struct queue_organisation *organisation = call->entry.organisation;
 
@@ -252,7 +266,11 @@
 	wait_queue_charge(placement->queue, organisation, call->charged, true);
 }
 
-/* Books a grant that was made elsewhere: by an earlier home, or on a share. */
+/*
+ * Records a grant that was made elsewhere: by an earlier home, or on a node's
+ * local share. A call that waits, or is placed on another endpoint, moves to
+ * this one. An unknown address is counted and ignored.
+ */
 void placement_hold(struct placement *placement,
 		    const struct placement_request *request,
 		    const char *address, int64_t tokens, int64_t now_us)
@@ -267,19 +285,19 @@
 	if (call && call->book == book)
 		return;
 	if (call)
-		placement_forget(placement, call);
-	call = placement_add(placement, request, tokens, now_us);
-	placement_put(placement, call, book, now_us);
+		placement_remove_call(placement, call);
+	call = placement_add_call(placement, request, tokens, now_us);
+	placement_assign(placement, call, book, now_us);
 }
 
-/* What was counted since the start. */
+/* The counters since creation; owned by the placement. */
 const struct placement_counts *
 placement_counts(const struct placement *placement)
 {
 	return &placement->counts;
 }
 
-/* Requests that wait. */
+/* Number of waiting requests. */
 uint32_t placement_waiting(const struct placement *placement)
 {
 	return wait_queue_length(placement->queue);
--- a/core/placement/placement.h
+++ b/core/placement/placement.h
@@ -13,18 +13,19 @@
 G_BEGIN_DECLS
 
 /*
- * Places requests on the endpoints of one service: a queue, a book of what
- * each endpoint holds, and the policy between them. Used by the home of a
- * shard for all nodes, and by a node alone for its share when it has no home.
+ * Places requests on the endpoints of one service. It consists of a queue of
+ * waiting requests, an account of the load on each endpoint, and a policy that
+ * assigns requests to endpoints. The home of a shard runs one for all nodes; a
+ * node that has no home runs one for its local share.
  */
 
-#define PLACEMENT_STEP_US 28000 /* wanted between tokens */
+#define PLACEMENT_STEP_US 28000 /* target interval between tokens */
 
 enum placement_policy {
 	PLACEMENT_NAIVE,  /* fewest outstanding requests, no admission */
-	PLACEMENT_PEAK,	  /* admission by estimated future peak */
-	PLACEMENT_ORACLE, /* the same with true lengths known */
-	PLACEMENT_FIXED	  /* as PEAK, with a margin that does not learn */
+	PLACEMENT_PEAK,	  /* admission by predicted peak of memory use */
+	PLACEMENT_ORACLE, /* as PEAK, with the true lengths known in advance */
+	PLACEMENT_FIXED	  /* as PEAK, with a constant safety margin */
 };
 
 struct length_estimate;
@@ -34,29 +35,36 @@
 	enum service_kind kind;
 	uint64_t seed;
 	int32_t max_waiting;
-	int64_t step_us; /* token interval an engine may reach */
+	int64_t step_us; /* longest allowed interval between tokens */
 
-	/* Shared with other placements, and outlives them; NULL: its own. */
+	/* Shared with other placements and outlives them; NULL: private. */
 	struct length_estimate *lengths;
 
-	/* Zero: the default, chosen on the policy bench. */
-	double deviations; /* kept free; default: learned from preemptions */
-	double shared;	   /* deviation of the common factor of lengths */
-	double shared_by_shift; /* more, as answers outlast their estimate */
-	double least_chance;	/* of meeting a deadline, to be let in */
+	/*
+	 * Zero selects the default for each. The margin is a number of standard
+	 * deviations that is kept free; by default it adapts to preemptions.
+	 * common_deviation is the deviation of the factor common to all
+	 * lengths, and common_deviation_by_shift adds to it while answers
+	 * outlast their estimates. A request is admitted only if the chance to
+	 * meet its deadline is at least min_deadline_chance.
+	 */
+	double deviations;
+	double common_deviation;
+	double common_deviation_by_shift;
+	double min_deadline_chance;
 };
 
 struct placement_request {
-	uint64_t ticket; /* unique; chosen by the asker */
+	uint64_t ticket; /* unique; set by the requester */
 	const char *organisation;
 	int32_t weight; /* of the organisation */
 	int32_t priority;
 	int64_t prompt_tokens;
 	int64_t max_tokens;
-	int64_t deadline_us; /* absolute; 0: none */
-	uint64_t prefix_hash;
-	uint64_t avoid_hash;
-	int64_t true_tokens;
+	int64_t deadline_us;  /* absolute; 0: none */
+	uint64_t prefix_hash; /* 0: none */
+	uint64_t avoid_hash;  /* of an endpoint to avoid; 0: none */
+	int64_t true_tokens;  /* answer length, for PLACEMENT_ORACLE */
 };
 
 enum placement_verdict { PLACEMENT_PLACED, PLACEMENT_REFUSED };
@@ -81,7 +89,7 @@
 			       int64_t now_us);
 void placement_set_leaving(struct placement *placement, const char *address,
 			   bool leaving);
-void placement_set_share(struct placement *placement, int32_t divisor);
+void placement_set_share(struct placement *placement, int32_t share_divisor);
 void placement_report_load(struct placement *placement, const char *address,
 			   const struct load_report *report, int64_t now_us);
 void placement_report_unreachable(struct placement *placement,
@@ -102,15 +110,15 @@
 void placement_prefix_cached(struct placement *placement, const char *address,
 			     uint64_t prefix_hash, bool cached);
 
-/* What was counted, for tests, benches and the dump. */
+/* Counters since creation, for tests, benchmarks and the dump. */
 struct placement_counts {
 	uint64_t placed;
 	uint64_t refused;
 	uint64_t reports_taken;
-	uint64_t reports_older;
-	uint64_t reports_absurd;
-	uint64_t unknown; /* tickets and addresses not known here */
-	uint64_t put_aside;
+	uint64_t reports_older;	 /* ignored: older than the last one taken */
+	uint64_t reports_absurd; /* ignored: implausible values */
+	uint64_t unknown;	 /* operations on unknown tickets, addresses */
+	uint64_t put_aside;	 /* times an endpoint was put aside */
 };
 
 const struct placement_counts *
--- a/core/placement/placement_choose.c
+++ b/core/placement/placement_choose.c
@@ -3,28 +3,31 @@
 #include <math.h>
 
 /*
- * Which endpoint takes a request, and which are kept out of the choice: those
- * that leave, cannot be reached, or were put aside.
+ * Selects the endpoint for a request. Endpoints that are leaving, unreachable
+ * or put aside are not eligible.
  */
 
-/* Prompts wait for each other: so many cost as much as a full engine. */
+/*
+ * An engine reads prompts one after the other: this many unread prompt tokens
+ * cost as much as a full engine.
+ */
 #define UNREAD_TOKENS_FULL 40000.0
-/* A short answer takes mostly its wait for the prompts before it. */
-#define SHORT_UNREAD 10.0
+/* Most of a short answer's time is the wait for the prompts before it. */
+#define SHORT_UNREAD_FACTOR 10.0
 #define PREFIX_BONUS 0.1
 #define PREFIX_PROMPT_TOKENS 2000.0
 #define FAILURE_COST 0.1
 #define AVOIDED_COST 10.0
-#define WATERMARK 0.99 /* engines keep a hundredth free for what runs */
-#define SMALLEST_BATCH 4
-#define SHORT_BATCH_DIVISOR 8 /* part of a batch kept for short requests */
-#define SHORT_MARGIN 0.5
-#define SHARE_MARGIN 1.7
-#define SCAN_ALL 64 /* endpoints; of more, so many are drawn */
-#define ASIDE_DIVISOR 3
-#define STALL_US (4 * G_USEC_PER_SEC) /* progress may come every 2 s */
-#define SLOW_FACTOR 3.0
-#define WATCH_LEAST 3
+#define WATERMARK 0.99 /* engines reserve 1 % for running requests */
+#define MIN_BATCH 4
+#define SHORT_BATCH_DIVISOR 8 /* 1/8 of a batch is for short ones only */
+#define SHORT_MARGIN_FACTOR 0.5
+#define SHARE_MARGIN_FACTOR 1.7
+#define MAX_SCAN 64	/* endpoints considered per decision */
+#define ASIDE_DIVISOR 3 /* at most 1/3 of the endpoints are put aside */
+#define STALL_US (4 * G_USEC_PER_SEC) /* progress may arrive only every 2 s */
+#define SLOW_FACTOR 3.0		      /* times the median interval */
+#define OUTLIER_MIN_ENDPOINTS 3
 
 static bool book_is_unreachable(const struct endpoint_book *book)
 {
@@ -32,22 +35,23 @@
 }
 
 /*
- * When most endpoints seem out of reach the fault is more likely on this
- * side: the polls' word is then not taken, or all work would be refused.
+ * If more than half of the endpoints look unreachable, the fault is more
+ * likely on this side. The polls are then ignored, since otherwise all
+ * requests would be refused.
  */
 static bool placement_trusts_polls(const struct placement *placement)
 {
-	guint lost = 0;
+	guint unreachable = 0;
 
 	for (guint i = 0; i < placement->books->len; i++)
-		lost += book_is_unreachable(
+		unreachable += book_is_unreachable(
 			g_ptr_array_index(placement->books, i));
-	return 2 * lost <= placement->books->len;
+	return 2 * unreachable <= placement->books->len;
 }
 
-/* Whether an endpoint may get new work at all. */
-bool placement_may_serve(const struct placement *placement,
-			 const struct endpoint_book *book)
+/* Whether an endpoint may receive new requests at all. */
+bool placement_is_eligible(const struct placement *placement,
+			   const struct endpoint_book *book)
 {
 	if (book->leaving || book->reported_leaving)
 		return false;
@@ -59,11 +63,12 @@
 }
 
 /*
- * Puts an endpoint aside, but never more than a third: if many look bad at
- * once, the others would fall over under the load of those set aside.
+ * Puts an endpoint aside (out of rotation), but never more than a third of the
+ * endpoints: if many look unhealthy at once, the others would be overloaded by
+ * the load of those put aside.
  */
-void placement_suspect(struct placement *placement, struct endpoint_book *book,
-		       int64_t now_us)
+void placement_put_aside(struct placement *placement,
+			 struct endpoint_book *book, int64_t now_us)
 {
 	guint aside = 1;
 
@@ -89,7 +94,7 @@
 	return *x < *y ? -1 : *x > *y;
 }
 
-/* Median time between tokens over the endpoints, in us. */
+/* Median over the endpoints of the interval between tokens, in us. */
 int64_t placement_interval_us(const struct placement *placement)
 {
 	GArray *intervals;
@@ -121,14 +126,14 @@
 }
 
 /*
- * Looks for endpoints that stand still or are far slower than the rest, and
- * lets those whose time aside is over come back.
+ * Puts aside endpoints that have stalled or are far slower than the others,
+ * and lets endpoints return whose time aside has passed.
  */
-void placement_watch_endpoints(struct placement *placement, int64_t now_us)
+void placement_check_endpoints(struct placement *placement, int64_t now_us)
 {
 	bool compare = placement->options.kind == SERVICE_GENERATION &&
 		       placement->options.policy != PLACEMENT_NAIVE &&
-		       placement->books->len >= WATCH_LEAST;
+		       placement->books->len >= OUTLIER_MIN_ENDPOINTS;
 	int64_t median_us = compare ? placement_interval_us(placement) : 0;
 
 	for (guint i = 0; i < placement->books->len; i++) {
@@ -140,29 +145,29 @@
 			endpoint_health_report_idle(&book->health);
 		if (compare && book->health.state == HEALTH_GOOD &&
 		    book_is_outlier(book, median_us, now_us))
-			placement_suspect(placement, book, now_us);
+			placement_put_aside(placement, book, now_us);
 	}
 }
 
-static bool plain_has_room(const struct placement *placement,
-			   const struct endpoint_book *book)
+static bool plain_has_free_slot(const struct placement *placement,
+				const struct endpoint_book *book)
 {
 	return book->slots <= 0 ||
 	       (int32_t)book->calls->len <
-		       MAX(book->slots / placement->divisor, 1);
+		       MAX(book->slots / placement->share_divisor, 1);
 }
 
 /*
- * Whether the time between tokens stays in bounds with one call more. Long
- * ones leave a part of the batch to short ones.
+ * Whether the interval between tokens stays within step_us with one more call.
+ * Long calls leave a part of the batch to short ones.
  */
-static bool batch_has_room(const struct placement *placement,
-			   const struct endpoint_book *book,
-			   const struct placed_call *call)
+static bool batch_keeps_interval(const struct placement *placement,
+				 const struct endpoint_book *book,
+				 const struct placed_call *call)
 {
 	int32_t batch = (int32_t)book->calls->len * book->sharers + 1;
 
-	if (batch <= SMALLEST_BATCH)
+	if (batch <= MIN_BATCH)
 		return true;
 	if (call->entry.lane == QUEUE_LONG)
 		batch += batch / SHORT_BATCH_DIVISOR;
@@ -171,29 +176,32 @@
 }
 
 /*
- * How far all lengths may be misjudged at once. While answers outlast the
- * estimate a shift may be under way, and what it has yet to learn is added:
- * each request admitted too early in these seconds is one preempted later.
+ * Relative error that all length estimates may have in common. While answers
+ * outlast their estimates, the lengths may be shifting, so the part of the
+ * shift that is not yet learned is added: each request that is admitted too
+ * early in these seconds causes a preemption later.
  */
-static double placement_shared(const struct placement *placement)
+static double placement_common_deviation(const struct placement *placement)
 {
-	double late = 1 - length_estimate_shift(placement->lengths);
+	double overrun = 1 - length_estimate_shift(placement->lengths);
 
-	return placement->options.shared +
-	       placement->options.shared_by_shift * MAX(late, 0);
+	return placement->options.common_deviation +
+	       placement->options.common_deviation_by_shift * MAX(overrun, 0);
 }
 
 /*
- * On a share of an engine the margin shrinks with its root: what the shares
- * hold together varies by less than the sum of their deviations. It stays
- * wider than for independent ones, since a share may be overdrawn by what its
- * node got through the home before.
+ * On a local share of an engine the margin shrinks with the square root of the
+ * share divisor, because the load of all shares together varies by less than
+ * the sum of their deviations. SHARE_MARGIN_FACTOR keeps it wider than for
+ * independent shares, since a node may already exceed its share with grants
+ * that it got through the home before.
  */
-static double placement_deviations(const struct placement *placement)
+static double placement_margin_deviations(const struct placement *placement)
 {
-	if (placement->divisor <= 1)
+	if (placement->share_divisor <= 1)
 		return placement->deviations;
-	return SHARE_MARGIN * placement->deviations / sqrt(placement->divisor);
+	return SHARE_MARGIN_FACTOR * placement->deviations /
+	       sqrt(placement->share_divisor);
 }
 
 static double placement_peak(const struct placement *placement,
@@ -201,14 +209,14 @@
 			     const struct placed_call *call, int64_t now_us)
 {
 	struct admission_margin margin = {
-		.deviations = placement_deviations(placement),
-		.shared = placement_shared(placement),
+		.deviations = placement_margin_deviations(placement),
+		.common = placement_common_deviation(placement),
 	};
 
 	if (placement->options.policy == PLACEMENT_ORACLE)
 		return endpoint_book_known_peak(book, call, now_us);
 	if (call->entry.lane == QUEUE_SHORT)
-		margin.deviations *= SHORT_MARGIN;
+		margin.deviations *= SHORT_MARGIN_FACTOR;
 	return endpoint_book_peak(book, call, &margin);
 }
 
@@ -218,7 +226,7 @@
 	double unread = (double)book->unread_tokens / UNREAD_TOKENS_FULL;
 	double cost = fullness + FAILURE_COST * book->health.failures;
 
-	cost += call->entry.lane == QUEUE_SHORT ? SHORT_UNREAD * unread
+	cost += call->entry.lane == QUEUE_SHORT ? SHORT_UNREAD_FACTOR * unread
 						: unread;
 
 	if (endpoint_book_has_prefix(book, call->prefix_hash))
@@ -231,39 +239,39 @@
 }
 
 /*
- * An engine whose memory nobody told yet takes a few calls: its first load
- * report will say, but a node on its share asks for none.
+ * An engine of unknown memory size gets up to MIN_BATCH calls. Its first load
+ * report gives the size, but a node on its local share requests no reports.
  */
-static double unknown_cost(const struct endpoint_book *book,
-			   const struct placed_call *call)
+static double unknown_capacity_cost(const struct endpoint_book *book,
+				    const struct placed_call *call)
 {
-	if (book->calls->len >= SMALLEST_BATCH)
+	if (book->calls->len >= MIN_BATCH)
 		return G_MAXDOUBLE;
 	return book_cost(book, call, book->calls->len);
 }
 
-/* Cost of placing a call there; G_MAXDOUBLE: it has no room. */
+/* Cost of placing a call on an endpoint; G_MAXDOUBLE: it does not fit. */
 static double placement_cost(const struct placement *placement,
 			     struct endpoint_book *book,
 			     const struct placed_call *call, int64_t now_us)
 {
-	double capacity =
-		WATERMARK * (double)book->capacity_tokens / placement->divisor;
+	double capacity = WATERMARK * (double)book->capacity_tokens /
+			  placement->share_divisor;
 	double peak;
 
 	if (placement->options.policy == PLACEMENT_NAIVE)
 		return book->calls->len;
 	if (placement->options.kind == SERVICE_PLAIN) {
-		if (!plain_has_room(placement, book))
+		if (!plain_has_free_slot(placement, book))
 			return G_MAXDOUBLE;
 		return book_cost(book, call,
 				 (double)book->calls->len /
 					 MAX(book->slots, 1));
 	}
-	if (!batch_has_room(placement, book, call))
+	if (!batch_keeps_interval(placement, book, call))
 		return G_MAXDOUBLE;
 	if (capacity <= 0)
-		return unknown_cost(book, call);
+		return unknown_capacity_cost(book, call);
 	if (call->entry.lane == QUEUE_LONG && placement->reserved == book &&
 	    placement->reserved_for != call->ticket)
 		return G_MAXDOUBLE;
@@ -275,15 +283,16 @@
 }
 
 /*
- * The endpoint on which a call costs least, or NULL when none has room. The
- * start is drawn at random, so that equal ones share the load; of very many
- * only some are looked at, which keeps a decision's time bounded.
+ * Returns the eligible endpoint with the lowest cost for a call, or NULL if it
+ * fits on none. The scan starts at a random endpoint, so that equal endpoints
+ * share the load, and covers at most MAX_SCAN endpoints, which bounds the time
+ * of a decision.
  */
 struct endpoint_book *placement_choose(struct placement *placement,
 				       struct placed_call *call, int64_t now_us)
 {
 	guint count = placement->books->len;
-	guint scan = MIN(count, SCAN_ALL);
+	guint scan = MIN(count, MAX_SCAN);
 	struct endpoint_book *best = NULL;
 	double best_cost = G_MAXDOUBLE;
 	guint start;
@@ -296,7 +305,7 @@
 			placement->books, (start + i) % count);
 		double cost;
 
-		if (!placement_may_serve(placement, book))
+		if (!placement_is_eligible(placement, book))
 			continue;
 		cost = placement_cost(placement, book, call, now_us);
 		if (cost < best_cost) {
--- a/core/placement/placement_dump.c
+++ b/core/placement/placement_dump.c
@@ -22,7 +22,7 @@
 	g_variant_builder_add_value(list, g_variant_dict_end(&dict));
 }
 
-/* What the placement holds, for the dump of a node. */
+/* State of the placement for a node's dump, as a floating a{sv}. */
 GVariant *placement_dump(const struct placement *placement,
 			 G_GNUC_UNUSED int64_t now_us)
 {
--- a/core/placement/placement_endpoint.c
+++ b/core/placement/placement_endpoint.c
@@ -3,15 +3,18 @@
 #include "core/placement/home.h"
 
 /*
- * The endpoints of a placement: which there are, and what is heard of them.
+ * The endpoints of a placement: configuration, load reports and reachability.
  */
 
-/* Deviations; why so, and the way down in placement_step.c: docs/POLICY.md. */
-#define MARGIN_UP 0.1 /* by each preemption */
-#define MARGIN_MOST 4.0
-#define PREEMPTED_SPARE 16 /* requests that ended since the last report */
+/*
+ * Margin in deviations; placement_step.c narrows it. docs/POLICY.md gives the
+ * reasons.
+ */
+#define MARGIN_UP_PER_PREEMPTION 0.1
+#define MARGIN_MAX 4.0
+#define PREEMPTED_SLACK 16 /* requests that ended since the last report */
 
-/* An endpoint's book; unknown addresses are counted and give NULL. */
+/* Looks up an endpoint. Counts an unknown address and returns NULL for it. */
 struct endpoint_book *placement_find_endpoint(struct placement *placement,
 					      const char *address)
 {
@@ -23,7 +26,7 @@
 	return book;
 }
 
-/* Adds an endpoint or takes over its new settings. */
+/* Adds an endpoint, or updates the settings of a known one. */
 void placement_set_endpoint(struct placement *placement,
 			    const struct config_endpoint *endpoint,
 			    int64_t now_us)
@@ -35,7 +38,7 @@
 		book = endpoint_book_create(endpoint->address,
 					    placement->options.step_us, now_us);
 		book->hash = home_hash(endpoint->address, "", 0);
-		book->sharers = placement->divisor;
+		book->sharers = placement->share_divisor;
 		g_ptr_array_add(placement->books, book);
 		g_hash_table_insert(placement->by_address, book->address, book);
 	}
@@ -49,7 +52,7 @@
 	placement->recheck = true;
 }
 
-/* Removes an endpoint and forgets what it held. */
+/* Removes an endpoint and frees the calls placed on it. */
 void placement_remove_endpoint(struct placement *placement, const char *address,
 			       G_GNUC_UNUSED int64_t now_us)
 {
@@ -59,7 +62,8 @@
 	if (!book)
 		return;
 	while (book->calls->len > 0)
-		placement_forget(placement, g_ptr_array_index(book->calls, 0));
+		placement_remove_call(placement,
+				      g_ptr_array_index(book->calls, 0));
 	if (placement->reserved == book)
 		placement->reserved = NULL;
 	g_hash_table_remove(placement->by_address, address);
@@ -67,7 +71,7 @@
 	endpoint_book_destroy(book);
 }
 
-/* A leaving endpoint keeps what it holds and gets nothing new. */
+/* A leaving endpoint keeps its calls but receives no new ones. */
 void placement_set_leaving(struct placement *placement, const char *address,
 			   bool leaving)
 {
@@ -79,37 +83,44 @@
 	placement->recheck = true;
 }
 
-/* Without a home each of divisor nodes uses that part of every endpoint. */
-void placement_set_share(struct placement *placement, int32_t divisor)
+/*
+ * Sets the part of every endpoint that may be used: 1/share_divisor, for one
+ * of share_divisor nodes that place without a home. 1 uses all of it.
+ */
+void placement_set_share(struct placement *placement, int32_t share_divisor)
 {
-	placement->divisor = MAX(divisor, 1);
+	placement->share_divisor = MAX(share_divisor, 1);
 	for (guint i = 0; i < placement->books->len; i++) {
 		struct endpoint_book *book =
 			g_ptr_array_index(placement->books, i);
 
-		book->sharers = placement->divisor;
+		book->sharers = placement->share_divisor;
 	}
 	placement->recheck = true;
 }
 
 /*
- * The margin follows what preemptions cost: see docs/POLICY.md. More of them
- * at once than an engine runs requests are a wrong counter, and would narrow
- * the use of all engines for one that lies.
+ * Widens the margin by MARGIN_UP_PER_PREEMPTION for each preemption, up to
+ * MARGIN_MAX; docs/POLICY.md gives the reasons.
  */
-static void placement_learn_margin(struct placement *placement,
+static void placement_widen_margin(struct placement *placement,
 				   int64_t preempted)
 {
 	if (placement->options.deviations > 0)
 		return;
 	placement->deviations =
-		MIN(placement->deviations + MARGIN_UP * (double)preempted,
-		    MARGIN_MOST);
+		MIN(placement->deviations +
+			    MARGIN_UP_PER_PREEMPTION * (double)preempted,
+		    MARGIN_MAX);
 }
 
 /*
- * Takes an endpoint's own report. Older and absurd ones are counted and
- * ignored; what is taken never makes an endpoint look emptier than the book.
+ * Applies an endpoint's load report. Older and implausible reports are counted
+ * and ignored. A report never lowers the load below the sum of the grants.
+ *
+ * More preemptions at once than the engine can have had requests mean a wrong
+ * counter. They don't widen the margin, since the use of all engines would
+ * shrink because of one that reports wrong values.
  */
 void placement_report_load(struct placement *placement, const char *address,
 			   const struct load_report *report, int64_t now_us)
@@ -128,8 +139,8 @@
 		placement->largest_tokens =
 			MAX(placement->largest_tokens, book->capacity_tokens);
 		if (preempted <=
-		    2 * (int64_t)book->calls->len + PREEMPTED_SPARE)
-			placement_learn_margin(placement, preempted);
+		    2 * (int64_t)book->calls->len + PREEMPTED_SLACK)
+			placement_widen_margin(placement, preempted);
 		break;
 	case REPORT_OLDER:
 		placement->counts.reports_older++;
@@ -140,7 +151,7 @@
 	}
 }
 
-/* The endpoint gave no report. */
+/* Notes that a poll of the endpoint's load failed. */
 void placement_report_unreachable(struct placement *placement,
 				  const char *address, int64_t now_us)
 {
@@ -152,7 +163,7 @@
 	endpoint_health_report_poll(&book->health, false, now_us);
 }
 
-/* A hint that an endpoint holds a prompt's prefix, or no longer does. */
+/* Hint that an endpoint caches the prefix of a prompt, or no longer does. */
 void placement_prefix_cached(struct placement *placement, const char *address,
 			     uint64_t prefix_hash, bool cached)
 {
--- a/core/placement/placement_release.c
+++ b/core/placement/placement_release.c
@@ -1,12 +1,12 @@
 #include "core/placement/placement_state.h"
 
 /*
- * What is learned of placed requests: while they make tokens, and when they
- * end.
+ * Progress and end of placed requests, and what they add to the statistics of
+ * lengths, durations, end rate and health.
  */
 
-#define PLAIN_FADE 0.95 /* by each plain call: a memory of 20 */
-#define HELD_FADE 0.99	/* by each request that ends: a memory of 100 */
+#define PLAIN_DECAY 0.95 /* per plain call: a window of about 20 */
+#define HELD_DECAY 0.99	 /* per ended request: a window of about 100 */
 
 static void placement_count_tokens(struct placed_call *call, int64_t tokens)
 {
@@ -16,7 +16,10 @@
 	}
 }
 
-/* Notes how many tokens a placed request has made. */
+/*
+ * Notes how many tokens a placed request has generated. Ignored if the request
+ * is unknown or waiting, or if the count is not a plausible increase.
+ */
 void placement_progress(struct placement *placement, uint64_t ticket,
 			int64_t tokens, int64_t now_us)
 {
@@ -53,7 +56,7 @@
 	case RELEASE_FAILED:
 	case RELEASE_LOST:
 		if (endpoint_health_report_failure(&book->health))
-			placement_suspect(placement, book, now_us);
+			placement_put_aside(placement, book, now_us);
 		break;
 	case RELEASE_CANCELLED:
 	case RELEASE_NOT_SENT:
@@ -61,30 +64,37 @@
 	}
 }
 
-/* What ends, and how long it held its place, weighed by its size. */
-static void placement_learn_drain(struct placement *placement,
+/*
+ * Counts a request that ended, and for how long it was held, weighted by its
+ * size: tokens, or 1 for a plain call.
+ */
+static void placement_count_ended(struct placement *placement,
 				  const struct placed_call *call, double used,
 				  int64_t now_us)
 {
 	double held_s =
 		(double)(now_us - call->placed_us) / (double)G_USEC_PER_SEC;
 
-	placement->drained += used;
-	placement->used_memory = placement->used_memory * HELD_FADE + used;
-	placement->held_memory =
-		placement->held_memory * HELD_FADE + used * held_s;
+	placement->ended += used;
+	placement->decayed_tokens =
+		placement->decayed_tokens * HELD_DECAY + used;
+	placement->decayed_token_s =
+		placement->decayed_token_s * HELD_DECAY + used * held_s;
 }
 
 static void placement_learn_plain(struct placement *placement,
 				  const struct placed_call *call,
 				  int64_t now_us)
 {
-	placement->plain_us =
-		placement->plain_us * PLAIN_FADE +
-		(double)(now_us - call->placed_us) * (1 - PLAIN_FADE);
+	placement->plain_duration_us =
+		placement->plain_duration_us * PLAIN_DECAY +
+		(double)(now_us - call->placed_us) * (1 - PLAIN_DECAY);
 }
 
-/* Ends a grant; unknown tickets are ignored, one that waits is withdrawn. */
+/*
+ * Ends a grant. tokens is how many were generated. Unknown tickets are ignored;
+ * a waiting request is withdrawn.
+ */
 void placement_release(struct placement *placement, uint64_t ticket,
 		       enum release_outcome outcome, int64_t tokens,
 		       int64_t now_us)
@@ -97,7 +107,7 @@
 		return;
 	book = call->book;
 	if (!book) {
-		placement_forget(placement, call);
+		placement_remove_call(placement, call);
 		return;
 	}
 	tokens = MAX(tokens, call->made);
@@ -109,7 +119,7 @@
 	}
 	wait_queue_charge(placement->queue, call->entry.organisation,
 			  used - call->charged, false);
-	placement_learn_drain(placement, call, used, now_us);
+	placement_count_ended(placement, call, used, now_us);
 	placement_learn_health(placement, book, outcome, now_us);
-	placement_forget(placement, call);
+	placement_remove_call(placement, call);
 }
--- a/core/placement/wait_queue.c
+++ b/core/placement/wait_queue.c
@@ -1,10 +1,13 @@
 #include "core/placement/wait_queue.h"
 
-/* Waiting so long is worth one level of priority. */
+/* This much waiting raises the priority by one level. */
 #define AGEING_US (10 * G_USEC_PER_SEC)
-/* A head that must start within this goes before others of its turn. */
+/*
+ * A request that must start within URGENT_US is ordered as if its organisation
+ * had been served fewer tokens.
+ */
 #define URGENT_US (2 * G_USEC_PER_SEC)
-#define URGENT_CREDIT 2000.0
+#define URGENT_CREDIT_TOKENS 2000.0 /* per weight */
 
 struct wait_queue {
 	GHashTable *by_name;
@@ -23,7 +26,7 @@
 	g_free(organisation);
 }
 
-/* An empty queue. */
+/* Creates an empty queue; the caller owns it. */
 struct wait_queue *wait_queue_create(void)
 {
 	struct wait_queue *queue = g_new0(struct wait_queue, 1);
@@ -44,7 +47,10 @@
 	g_free(queue);
 }
 
-/* The organisation of this name, with its weight brought up to date. */
+/*
+ * Finds or creates the organisation of this name and sets its weight, at least
+ * 1. The queue owns the result.
+ */
 struct queue_organisation *wait_queue_organisation(struct wait_queue *queue,
 						   const char *name,
 						   int32_t weight)
@@ -65,7 +71,7 @@
 	return organisation;
 }
 
-static int64_t queue_entry_rank(const struct queue_entry *entry)
+static int64_t queue_entry_order_us(const struct queue_entry *entry)
 {
 	return entry->start_by_us - entry->priority * AGEING_US;
 }
@@ -75,8 +81,8 @@
 {
 	const struct queue_entry *x = a;
 	const struct queue_entry *y = b;
-	int64_t rank_x = queue_entry_rank(x);
-	int64_t rank_y = queue_entry_rank(y);
+	int64_t rank_x = queue_entry_order_us(x);
+	int64_t rank_y = queue_entry_order_us(y);
 
 	if (rank_x != rank_y)
 		return rank_x < rank_y ? -1 : 1;
@@ -85,16 +91,17 @@
 }
 
 /*
- * Adds an entry, filled but for iter. An organisation that had nothing
- * waiting starts from the present virtual time: quiet hours earn no burst.
+ * Adds an entry, of which all members but iter are set. An organisation that
+ * had nothing waiting continues from the present virtual time, so that an idle
+ * time does not allow a burst later.
  */
 void wait_queue_push(struct wait_queue *queue, struct queue_entry *entry)
 {
 	struct queue_organisation *organisation = entry->organisation;
 
 	if (organisation->waiting == 0)
-		organisation->taken =
-			MAX(organisation->taken, queue->virtual_time);
+		organisation->virtual_finish =
+			MAX(organisation->virtual_finish, queue->virtual_time);
 	entry->iter =
 		g_sequence_insert_sorted(organisation->lanes[entry->lane],
 					 entry, queue_entry_compare, NULL);
@@ -103,7 +110,7 @@
 	queue->length++;
 }
 
-/* Takes an entry out; nothing happens if it is not in the queue. */
+/* Removes an entry; does nothing if it is not in the queue. */
 void wait_queue_remove(struct wait_queue *queue, struct queue_entry *entry)
 {
 	if (!entry->iter)
@@ -116,8 +123,9 @@
 }
 
 /*
- * Charges tokens to an organisation: when one of its requests is served, and
- * the difference to the estimate, maybe negative, when it has ended.
+ * Charges tokens to an organisation: the estimate when one of its requests is
+ * placed (served is true), and the difference to it, which may be negative,
+ * when the request ends.
  */
 void wait_queue_charge(struct wait_queue *queue,
 		       struct queue_organisation *organisation, double tokens,
@@ -125,39 +133,41 @@
 {
 	if (served)
 		queue->virtual_time =
-			MAX(queue->virtual_time, organisation->taken);
-	organisation->taken += tokens / organisation->weight;
+			MAX(queue->virtual_time, organisation->virtual_finish);
+	organisation->virtual_finish += tokens / organisation->weight;
 }
 
-static int64_t queue_entry_level(const struct queue_entry *entry,
-				 int64_t now_us)
+static int64_t queue_entry_aged_priority(const struct queue_entry *entry,
+					 int64_t now_us)
 {
 	return entry->priority + (now_us - entry->arrival_us) / AGEING_US;
 }
 
-static double queue_entry_turn(const struct queue_entry *entry, int64_t now_us)
+static double queue_entry_virtual_start(const struct queue_entry *entry,
+					int64_t now_us)
 {
-	double turn = entry->organisation->taken;
+	double virtual_start = entry->organisation->virtual_finish;
 
 	if (entry->start_by_us - now_us < URGENT_US)
-		turn -= URGENT_CREDIT;
-	return turn;
+		virtual_start -= URGENT_CREDIT_TOKENS;
+	return virtual_start;
 }
 
 static bool queue_entry_before(const struct queue_entry *x,
 			       const struct queue_entry *y, int64_t now_us)
 {
-	int64_t level_x = queue_entry_level(x, now_us);
-	int64_t level_y = queue_entry_level(y, now_us);
+	int64_t level_x = queue_entry_aged_priority(x, now_us);
+	int64_t level_y = queue_entry_aged_priority(y, now_us);
 
 	if (level_x != level_y)
 		return level_x > level_y;
-	return queue_entry_turn(x, now_us) < queue_entry_turn(y, now_us);
+	return queue_entry_virtual_start(x, now_us) <
+	       queue_entry_virtual_start(y, now_us);
 }
 
 /*
- * The first of a lane from each organisation, in the order in which they
- * should be served; at most max_heads. Returns how many.
+ * Fills heads with the first entry of each organisation in a lane, in the order
+ * in which to serve them; at most max_heads. Returns their number.
  */
 uint32_t wait_queue_heads(struct wait_queue *queue, enum queue_lane lane,
 			  int64_t now_us, struct queue_entry **heads,
@@ -190,13 +200,14 @@
 }
 
 /*
- * Whom to turn away when the queue is too long: the last of the organisation
- * that waits with most tokens for its weight. A flood thus displaces itself,
- * not those who come while the queue is full of it.
+ * Picks the entry to refuse when the queue is too long: the last one of the
+ * organisation with the most waiting tokens per weight, long requests first. A
+ * flood of requests thus displaces itself and not the requests that others
+ * submit meanwhile. NULL if the queue is empty.
  */
-struct queue_entry *wait_queue_excess(const struct wait_queue *queue)
+struct queue_entry *wait_queue_pick_overflow(const struct wait_queue *queue)
 {
-	struct queue_organisation *most = NULL;
+	struct queue_organisation *heaviest = NULL;
 	GSequenceIter *last;
 	GSequence *lane;
 
@@ -205,26 +216,27 @@
 			g_ptr_array_index(queue->organisations, i);
 
 		if (organisation->waiting &&
-		    (!most ||
+		    (!heaviest ||
 		     organisation->waiting_tokens / organisation->weight >
-			     most->waiting_tokens / most->weight))
-			most = organisation;
+			     heaviest->waiting_tokens / heaviest->weight))
+			heaviest = organisation;
 	}
-	if (!most)
+	if (!heaviest)
 		return NULL;
-	lane = most->lanes[QUEUE_LONG];
+	lane = heaviest->lanes[QUEUE_LONG];
 	if (g_sequence_is_empty(lane))
-		lane = most->lanes[QUEUE_SHORT];
+		lane = heaviest->lanes[QUEUE_SHORT];
 	last = g_sequence_iter_prev(g_sequence_get_end_iter(lane));
 	return g_sequence_get(last);
 }
 
 /*
- * Tokens that will be served before an entry, with fair turns: what its
- * organisation has before it, times all active weights over its own.
+ * Estimates the tokens that are served before an entry under fair queueing:
+ * those of its own organisation before it, and for each other organisation as
+ * many in proportion to the weights, at most those that it has waiting.
  */
-double wait_queue_ahead(const struct wait_queue *queue,
-			const struct queue_entry *entry)
+double wait_queue_tokens_ahead(const struct wait_queue *queue,
+			       const struct queue_entry *entry)
 {
 	const struct queue_organisation *own = entry->organisation;
 	double before = 0;
@@ -245,13 +257,13 @@
 	return before + others;
 }
 
-/* Entries in all. */
+/* Number of entries in the queue. */
 uint32_t wait_queue_length(const struct wait_queue *queue)
 {
 	return queue->length;
 }
 
-/* Calls visit(entry, data) for each; visit may remove that entry. */
+/* Calls visit(entry, data) for each entry; visit may remove that entry. */
 void wait_queue_foreach(struct wait_queue *queue, GFunc visit, gpointer data)
 {
 	for (guint i = 0; i < queue->organisations->len; i++) {
--- a/core/placement/wait_queue.h
+++ b/core/placement/wait_queue.h
@@ -8,24 +8,25 @@
 G_BEGIN_DECLS
 
 /*
- * Requests that wait, by organisation. Within one the order is by the latest
- * useful start; between organisations by priority, which rises with waiting,
- * then by tokens taken so far per weight (start-time fair queueing, Goyal et
- * al., 1997). Short requests have a lane of their own, so that they are not
- * held up behind long ones that do not fit.
+ * Waiting requests, grouped by organisation. Requests of one organisation are
+ * ordered by their latest useful start, earlier for a higher priority. Between
+ * organisations the order is by priority, which rises with waiting time, then
+ * by tokens served so far per weight (start-time fair queueing, Goyal et al.,
+ * 1997). Short requests have their own lane, so that long requests that do not
+ * fit do not block them.
  */
 enum queue_lane { QUEUE_SHORT, QUEUE_LONG, QUEUE_LANES };
 
 struct queue_organisation {
 	char *name;
 	int32_t weight;
-	double taken; /* tokens per weight: virtual time */
+	double virtual_finish; /* served tokens per weight */
 	GSequence *lanes[QUEUE_LANES];
 	uint32_t waiting;
 	double waiting_tokens;
 };
 
-/* Embedded in what waits. */
+/* Embedded in each object that waits. */
 struct queue_entry {
 	struct queue_organisation *organisation;
 	enum queue_lane lane;
@@ -51,9 +52,9 @@
 uint32_t wait_queue_heads(struct wait_queue *queue, enum queue_lane lane,
 			  int64_t now_us, struct queue_entry **heads,
 			  uint32_t max_heads);
-struct queue_entry *wait_queue_excess(const struct wait_queue *queue);
-double wait_queue_ahead(const struct wait_queue *queue,
-			const struct queue_entry *entry);
+struct queue_entry *wait_queue_pick_overflow(const struct wait_queue *queue);
+double wait_queue_tokens_ahead(const struct wait_queue *queue,
+			       const struct queue_entry *entry);
 uint32_t wait_queue_length(const struct wait_queue *queue);
 void wait_queue_foreach(struct wait_queue *queue, GFunc visit, gpointer data);
 
--- a/tests/endpoint_return_test.cc
+++ b/tests/endpoint_return_test.cc
@@ -3,9 +3,9 @@
 #include <gtest/gtest.h>
 
 /*
- * A caller waits for a plain endpoint that was lost and is back. The one
- * request let through on trial is cancelled by its caller, which tells nothing
- * of the endpoint. The next request must still get its turn.
+ * A plain endpoint was unreachable and is back, and the single trial request is
+ * cancelled by its caller, which shows nothing about the endpoint's health. The
+ * next request must still be placed there.
  */
 TEST(EndpointReturn, ACancelledTrialIsFollowedByAnother)
 {
@@ -55,8 +55,9 @@
 }
 
 /*
- * A caller waits for a slot of the only endpoint, and then that endpoint is
- * said to leave. No wait would help: the caller is told so within a second.
+ * A request waits for a slot of the only endpoint when that endpoint is marked
+ * as leaving. Waiting doesn't help then: the request must be refused within a
+ * second.
  */
 TEST(EndpointReturn, AWaitingRequestIsRefusedWhenItsLastEndpointLeaves)
 {
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -124,8 +124,8 @@
 }
 
 /*
- * An engine is leaving, by the VM list or by its own report. Callers notice
- * nothing; it gets nothing new, also when all others are full.
+ * An engine is marked as leaving by the VM list or by its own load report. It
+ * must get no new requests, even when all others are full.
  */
 TEST_F(Placement, LeavingEndpointsGetNothing)
 {
@@ -142,9 +142,9 @@
 }
 
 /*
- * The queue is long and each request still has its deadline. One that cannot
- * be in time any more is told so at once, with when to come back, rather than
- * after having waited for nothing.
+ * The queue is long and requests have deadlines. A request that can't meet its
+ * deadline must be refused at once, with a time to retry, and not only after a
+ * useless wait.
  */
 TEST_F(Placement, RefusesAtOnceWhatCannotBeInTime)
 {
@@ -171,8 +171,9 @@
 }
 
 /*
- * One organisation floods the queue. When it is full the flood is turned
- * away, not the few of another one, and turns alternate between the two.
+ * One organisation floods the queue. When the queue is full, requests of the
+ * flood must be refused and not the few of another organisation, and service
+ * alternates between the two.
  */
 TEST_F(Placement, AFloodDisplacesItself)
 {
@@ -205,12 +206,13 @@
 }
 
 /*
- * An engine fails all it gets, at once. It is put aside after the second and
- * gets nothing for a while, then single requests, then more as they succeed.
+ * An engine fails all its requests at once. It is put aside after the second
+ * failure and gets no requests for a while, then single ones, then more as they
+ * succeed.
  */
 TEST_F(Placement, PutsAFailingEndpointAsideAndBringsItBackGently)
 {
-	int to_bad = 0;
+	int sent_to_failing = 0;
 
 	start(SERVICE_GENERATION, 4);
 	for (int i = 0; i < 200; i++) {
@@ -219,14 +221,14 @@
 		step();
 		if (placed[ticket] == name(0)) {
 			release(ticket, RELEASE_FAILED, 0);
-			to_bad++;
+			sent_to_failing++;
 		} else {
 			release(ticket, RELEASE_WHOLE, 50);
 		}
 		now += SECOND / 20;
 	}
-	EXPECT_GE(to_bad, 1);
-	EXPECT_LE(to_bad, 8);
+	EXPECT_GE(sent_to_failing, 1);
+	EXPECT_LE(sent_to_failing, 8);
 	placed.clear();
 	for (int i = 0; i < 2000; i++) {
 		uint64_t ticket = submit("a", 100);
@@ -239,9 +241,9 @@
 }
 
 /*
- * All engines fail for a moment, for instance by a bad network. Were all of
- * them put aside nothing would be served, and the last one left would fall
- * over; so at most a third is.
+ * All engines fail for a moment, for instance because of a network fault. At
+ * most a third of them may be put aside: otherwise the last one left would be
+ * overloaded, and with none left nothing would be served.
  */
 TEST_F(Placement, NeverPutsMoreThanAThirdAside)
 {
@@ -277,8 +279,9 @@
 }
 
 /*
- * Engines report negative, absurd and old load. Each is counted and ignored:
- * the book stays as it was, and none makes an engine look emptier than it is.
+ * Engines report negative, implausible and outdated loads. Each such report
+ * must be counted and ignored, and none may make an engine look emptier than
+ * the sum of its grants.
  */
 TEST_F(Placement, TrustsNoReportOverItsBook)
 {
@@ -332,9 +335,10 @@
 }
 
 /*
- * Long requests wait for room, each from another organisation. If each had an
- * engine kept for itself, all engines would stand half empty before a queue
- * that would fit; only one is kept, so the others go on taking what fits.
+ * Long requests of several organisations wait for memory. If an engine were
+ * reserved for each of them, all engines would stay half empty while requests
+ * wait that would fit. Only one engine is reserved, so the others continue to
+ * take what fits.
  */
 TEST_F(Placement, KeepsOneEndpointForAWaitingRequest)
 {
@@ -389,8 +393,9 @@
 }
 
 /*
- * Nodes without a home share each engine, so its report shows what the others
- * hold. Counted against the own part it would leave each node one request.
+ * Nodes without a home share each engine, so its load report includes what the
+ * other nodes hold. If that were counted against the local share, each node
+ * could place only one request.
  */
 TEST_F(Placement, AShareIsNotFilledByTheOtherNodes)
 {
@@ -408,7 +413,10 @@
 	EXPECT_GE(placed.size(), 8u);
 }
 
-/* At the home the same report means a second home, or nodes on shares. */
+/*
+ * At the home the same report means that there is a second home, or that nodes
+ * place on their local shares. Capacity must be left for what these hold.
+ */
 TEST_F(Placement, LeavesRoomForWhatOthersHold)
 {
 	struct load_report report = {1, 10, 0, 18000, 20000, 0, false};
@@ -425,8 +433,9 @@
 }
 
 /*
- * Checks come while the engines are full of reports and more wait. A check is
- * placed at once; held up behind reports it would miss its deadline.
+ * Checks (short requests) arrive while the engines are full of reports (long
+ * requests) and more reports wait. A check must be placed at once: behind the
+ * reports it would miss its deadline.
  */
 TEST_F(Placement, ChecksPassWaitingReports)
 {
@@ -455,8 +464,9 @@
 }
 
 /*
- * A service's first requests have short deadlines. Nothing is known of their
- * lengths; refused as too long they would never be seen to be short.
+ * The first requests of a service have short deadlines and their lengths are
+ * unknown. If they were refused as too long, they could never be observed to be
+ * short.
  */
 TEST_F(Placement, RefusesNothingAsTooLongBeforeItIsKnown)
 {
@@ -486,8 +496,8 @@
 
 /*
  * The margin narrows with each placement and widens with each preemption that
- * engines report. When reports stop, preemptions can't show, and a margin that
- * went on narrowing would fill the engines unseen.
+ * engines report. When reports stop, preemptions stay invisible, and a margin
+ * that continued to narrow would overload the engines unnoticed.
  */
 TEST_F(Placement, NarrowsItsMarginOnlyWhileReportsCome)
 {
@@ -521,7 +531,10 @@
 	EXPECT_NEAR(narrowed + 0.3, deviations(placement), 1e-9);
 }
 
-/* A priority passes what came before it, but waiting counts as well. */
+/*
+ * A request of higher priority overtakes earlier ones, but waiting raises the
+ * priority too.
+ */
 TEST_F(Placement, ServesPriorityFirstAndAgesTheRest)
 {
 	uint64_t low, high, late_high;
@@ -547,9 +560,9 @@
 }
 
 /*
- * An engine's memory is neither configured nor reported yet. It gets a few
- * calls: with none a node on its share, which asks for no report, would never
- * use it; with no bound it would be filled blindly.
+ * An engine's memory is neither configured nor reported yet. It must get a few
+ * calls: with none, a node on its local share, which requests no reports, would
+ * never use it; with no limit, it would be overloaded.
  */
 TEST_F(Placement, UsesAnEngineOfUnknownMemoryALittle)
 {
