--- a/core/lease/holder.c
+++ b/core/lease/holder.c
@@ -8,10 +8,10 @@
 
 enum holder_state {
 	HOLDER_IDLE,
-	HOLDER_READING, /* is the key free? */
-	HOLDER_GRANTING,
-	HOLDER_CLAIMING,
-	HOLDER_HOLDING
+	HOLDER_READING,	 /* checks whether the key exists */
+	HOLDER_GRANTING, /* requests a lease */
+	HOLDER_CLAIMING, /* creates the key under the lease */
+	HOLDER_HOLDING	 /* renews the lease */
 };
 
 struct holder {
@@ -21,15 +21,19 @@
 	GRand *random;
 	enum holder_state state;
 	bool wanted;
-	uint64_t kv_id;	 /* in flight; 0: none */
-	int64_t sent_us; /* of the call in flight */
-	int64_t due_us;	 /* next call, when none is in flight */
+	uint64_t kv_id;	 /* of the call in flight; 0: none */
+	int64_t sent_us; /* when the last call was sent */
+	int64_t due_us;	 /* of the next call, if none is in flight */
 	int64_t lease;
-	int64_t lease_until_us; /* by this clock, and early rather than late */
-	int64_t fence;
+	int64_t lease_expires_us; /* on the local clock; early, never late */
+	int64_t fence;		  /* fencing number */
 };
 
-/* A holder that does not want the key yet; options are copied. */
+/*
+ * Creates a holder that does not claim the key until holder_set_wanted(). It
+ * copies the options, the key and the name; the caller frees it with
+ * holder_destroy().
+ */
 struct holder *holder_create(const struct holder_options *options)
 {
 	struct holder *holder = g_new0(struct holder, 1);
@@ -42,7 +46,7 @@
 	return holder;
 }
 
-/* Lets the lease lapse by itself; NULL is allowed. */
+/* Frees the holder and leaves its lease to expire; NULL is allowed. */
 void holder_destroy(struct holder *holder)
 {
 	if (!holder)
@@ -53,7 +57,7 @@
 	g_free(holder);
 }
 
-/* Whether to try for the key and keep it; else it is given up. */
+/* Sets whether to claim and keep the key; if not, holder_step() releases it. */
 void holder_set_wanted(struct holder *holder, bool wanted)
 {
 	holder->wanted = wanted;
@@ -80,31 +84,39 @@
 	return holder->options.ttl_s * G_USEC_PER_SEC;
 }
 
-static void holder_retry(struct holder *holder, int64_t now_us,
-			 int64_t delay_us)
+/* Sets the next call after a random 50 to 100 % of the delay. */
+static void holder_schedule(struct holder *holder, int64_t now_us,
+			    int64_t delay_us)
 {
 	holder->due_us =
 		now_us + delay_us / 2 +
 		(int64_t)(g_rand_double(holder->random) * (double)delay_us / 2);
 }
 
-/* The key is not held, or not known to be: try again after a while. */
-static void holder_rest(struct holder *holder, int64_t now_us, int64_t delay_us)
+/* The key is not held, or may not be: starts over after the delay. */
+static void holder_set_idle(struct holder *holder, int64_t now_us,
+			    int64_t delay_us)
 {
 	holder->state = HOLDER_IDLE;
 	holder->fence = 0;
 	holder->lease = 0;
-	holder_retry(holder, now_us, delay_us);
+	holder_schedule(holder, now_us, delay_us);
 }
 
-/* Stops holding: an endpoint has met a higher fencing number. */
+/*
+ * Stops holding the key, after an endpoint refused an order because it had
+ * seen a higher fencing number. Starts over after one time to live at most.
+ */
 void holder_drop(struct holder *holder, int64_t now_us)
 {
 	holder->kv_id = 0;
-	holder_rest(holder, now_us, ttl_us(holder));
+	holder_set_idle(holder, now_us, ttl_us(holder));
 }
 
-/* The key's value: one for each claim, so that a lost answer can be told. */
+/*
+ * The value to write under the key. It contains the lease and so is unique to
+ * a claim: a claim whose answer was lost can be recognised by reading the key.
+ */
 static GBytes *claim_value(const struct holder *holder)
 {
 	char *text = g_strdup_printf("%s:%" G_GINT64_FORMAT, holder->name,
@@ -153,19 +165,22 @@
 }
 
 /*
- * Gives the key up, so that another can have it at once. The fence is gone
- * before the call is sent: nothing is ordered under it any more.
+ * Revokes the lease, so that another candidate can claim the key at once. The
+ * fence is cleared before the call is sent, so no more orders carry it.
  */
 static void holder_release(struct holder *holder, int64_t now_us,
 			   struct action_list *actions)
 {
 	int64_t lease = holder->lease;
 
-	holder_rest(holder, now_us, RETRY_US);
+	holder_set_idle(holder, now_us, RETRY_US);
 	holder_send(holder, KV_LEASE_REVOKE, now_us, actions)->lease = lease;
 }
 
-/* Makes the next call when it is due: a claim, or a renewal of the lease. */
+/*
+ * Sends the next call if it is due and none is in flight: a step of a claim, a
+ * renewal, or the revocation of the lease of a key that is no longer wanted.
+ */
 void holder_step(struct holder *holder, int64_t now_us,
 		 struct action_list *actions)
 {
@@ -181,7 +196,7 @@
 	send_next(holder, now_us, actions);
 }
 
-/* When holder_step() has something to do; INT64_MAX: nothing. */
+/* When holder_step() must run next, in us; INT64_MAX: not before an answer. */
 int64_t holder_next_due_us(const struct holder *holder)
 {
 	if (holder->kv_id)
@@ -192,8 +207,8 @@
 }
 
 /*
- * While another holds the key this costs one read per time to live and
- * candidate, no write.
+ * While another holder has the key, each candidate sends about one read per
+ * time to live, and no write.
  */
 static void on_read(struct holder *holder, const struct kv_answer *answer,
 		    int64_t now_us, struct action_list *actions)
@@ -203,14 +218,17 @@
 		send_next(holder, now_us, actions);
 		return;
 	}
-	holder_rest(holder, now_us,
-		    answer->outcome == KV_OK ? ttl_us(holder) : RETRY_US);
+	holder_set_idle(holder, now_us,
+			answer->outcome == KV_OK ? ttl_us(holder) : RETRY_US);
 }
 
-/* Counted from before it was asked for, so never longer than the service's. */
+/*
+ * The lease counts from when its request was sent, so it never lasts longer
+ * here than at the key-value service.
+ */
 static void extend_lease(struct holder *holder, int64_t granted_s)
 {
-	holder->lease_until_us =
+	holder->lease_expires_us =
 		holder->sent_us +
 		MIN(granted_s, holder->options.ttl_s) * G_USEC_PER_SEC;
 }
@@ -219,7 +237,7 @@
 		       int64_t now_us, struct action_list *actions)
 {
 	if (answer->outcome != KV_OK) {
-		holder_rest(holder, now_us, RETRY_US);
+		holder_set_idle(holder, now_us, RETRY_US);
 		return;
 	}
 	holder->lease = answer->lease;
@@ -227,14 +245,18 @@
 	send_claim(holder, now_us, actions);
 }
 
-static void hold(struct holder *holder, int64_t fence, int64_t now_us)
+static void holder_set_holding(struct holder *holder, int64_t fence,
+			       int64_t now_us)
 {
 	holder->state = HOLDER_HOLDING;
 	holder->fence = fence;
 	holder->due_us = now_us + ttl_us(holder) / RENEWALS_PER_TTL;
 }
 
-/* The key as this claim wrote it, whose answer was lost; or NULL. */
+/*
+ * The key's entry, if this claim wrote it in an earlier call whose answer was
+ * lost; else NULL. The answer owns the entry.
+ */
 static const struct kv_entry *find_own_claim(const struct holder *holder,
 					     const struct kv_answer *answer)
 {
@@ -258,17 +280,18 @@
 
 	switch (answer->outcome) {
 	case KV_OK:
-		hold(holder, answer->revision, now_us);
+		holder_set_holding(holder, answer->revision, now_us);
 		break;
 	case KV_CONFLICT:
 		own = find_own_claim(holder, answer);
 		if (own)
-			hold(holder, own->create_revision, now_us);
+			holder_set_holding(holder, own->create_revision,
+					   now_us);
 		else
-			holder_rest(holder, now_us, ttl_us(holder));
+			holder_set_idle(holder, now_us, ttl_us(holder));
 		break;
 	case KV_NOT_FOUND:
-		holder_rest(holder, now_us, RETRY_US);
+		holder_set_idle(holder, now_us, RETRY_US);
 		break;
 	case KV_NOT_APPLIED:
 	case KV_ANSWER_LOST:
@@ -278,15 +301,16 @@
 }
 
 /*
- * A renewal that is answered shows that the lease has not lapsed and that the
- * key is still this holder's, also where this clock had counted it as over in
- * an outage. One that is not found has lapsed, and another may hold the key.
+ * A successful renewal shows that the lease has not expired and that the key
+ * still belongs to this holder, even if the lease had expired on the local
+ * clock during an outage. If the lease is not found it has expired, and another
+ * holder may have the key.
  */
 static void on_renewed(struct holder *holder, const struct kv_answer *answer,
 		       int64_t now_us)
 {
 	if (answer->outcome == KV_NOT_FOUND) {
-		holder_rest(holder, now_us, RETRY_US);
+		holder_set_idle(holder, now_us, RETRY_US);
 	} else if (answer->outcome == KV_OK) {
 		extend_lease(holder, answer->ttl_s);
 		holder->due_us = now_us + ttl_us(holder) / RENEWALS_PER_TTL;
@@ -295,7 +319,10 @@
 	}
 }
 
-/* Takes the answer to one of the holder's calls; false: it is another's. */
+/*
+ * Handles the answer to the holder's call in flight. Returns false, and does
+ * nothing, if the answer belongs to another call.
+ */
 bool holder_kv(struct holder *holder, const struct kv_answer *answer,
 	       int64_t now_us, struct action_list *actions)
 {
@@ -321,21 +348,24 @@
 	return true;
 }
 
-/* The fencing number to put into each order; 0: the key is not held. */
+/*
+ * The fencing number to put into each order; 0: the key is not held. It does
+ * not check the lease: see holder_may_act().
+ */
 int64_t holder_fence(const struct holder *holder)
 {
 	return holder->state == HOLDER_HOLDING ? holder->fence : 0;
 }
 
 /*
- * Whether an act of this duration, started now, is over a margin before the
- * lease can lapse. A holder that was paused and goes on in here finds its
- * lease over by its own clock, before it has heard from the service.
+ * Whether an action of this duration, started now, ends at least the margin
+ * before the lease can expire. After a pause of the process this already finds
+ * the lease expired on the local clock, before the service has answered.
  */
 bool holder_may_act(const struct holder *holder, int64_t now_us,
 		    int64_t duration_us)
 {
 	return holder_fence(holder) != 0 &&
 	       now_us + duration_us + holder->options.margin_us <=
-		       holder->lease_until_us;
+		       holder->lease_expires_us;
 }
--- a/core/once/outcome_store.c
+++ b/core/once/outcome_store.c
@@ -4,7 +4,7 @@
 	GHashTable *by_key; /* char * to struct outcome */
 	GQueue *by_age;	    /* struct outcome, oldest first */
 	int32_t max_outcomes;
-	int32_t max_bytes;
+	int32_t max_bytes; /* of the answer kept for each outcome */
 };
 
 static void outcome_chunk_clear(gpointer data)
@@ -29,7 +29,10 @@
 	g_free(outcome);
 }
 
-/* A store bounded in outcomes and in the bytes kept of each. */
+/*
+ * Creates a store of at most max_outcomes outcomes, which keeps an answer of at
+ * most max_bytes for each. Free with outcome_store_destroy().
+ */
 struct outcome_store *outcome_store_create(int32_t max_outcomes,
 					   int32_t max_bytes)
 {
@@ -53,16 +56,16 @@
 	g_free(store);
 }
 
-/* The outcome of this key, or NULL. */
+/* The outcome stored under this key, or NULL; the store owns it. */
 struct outcome *outcome_store_find(struct outcome_store *store, const char *key)
 {
 	return g_hash_table_lookup(store->by_key, key);
 }
 
 /*
- * Adds an outcome in state OUTCOME_NOT_RUN. NULL when the store is full: the
- * caller must refuse the request, because forgetting an older id to make room
- * would let that one run a second time.
+ * Adds an outcome in state OUTCOME_NOT_RUN; the store owns it. Returns NULL if
+ * the store is full. The caller must then refuse the request: evicting an older
+ * outcome would let the request of that id run a second time.
  */
 struct outcome *outcome_store_add(struct outcome_store *store, const char *key,
 				  int64_t expires_us)
@@ -89,7 +92,11 @@
 	       outcome->state == OUTCOME_PENDING;
 }
 
-/* Forgets what has expired and is not running; oldest first, so cheap. */
+/*
+ * Removes the expired outcomes, except those still pending or running, which
+ * move to the end of the queue. The scan starts at the oldest and ends at the
+ * first outcome that has not expired, so it costs little.
+ */
 void outcome_store_expire(struct outcome_store *store, int64_t now_us)
 {
 	guint count = g_queue_get_length(store->by_age);
@@ -108,13 +115,16 @@
 	}
 }
 
-/* How many outcomes are kept. */
+/* The number of outcomes in the store. */
 size_t outcome_store_count(const struct outcome_store *store)
 {
 	return g_hash_table_size(store->by_key);
 }
 
-/* Keeps a plain answer, without its body when that is over the bound. */
+/*
+ * Stores a plain answer, without its body if that is larger than the store's
+ * max_bytes. Takes a reference to the body.
+ */
 void outcome_set_answer(struct outcome_store *store, struct outcome *outcome,
 			int32_t status, const char *content_type, GBytes *body)
 {
@@ -126,7 +136,10 @@
 		outcome->body = g_bytes_ref(body);
 }
 
-/* Keeps a chunk of a stream, or drops all once over the bound. */
+/*
+ * Stores a chunk of a stream and takes a reference to its data. Once the stream
+ * is larger than the store's max_bytes, drops all its chunks.
+ */
 void outcome_add_chunk(struct outcome_store *store, struct outcome *outcome,
 		       GBytes *data, int64_t token_count)
 {
@@ -147,7 +160,10 @@
 	g_array_append_val(outcome->chunks, chunk);
 }
 
-/* Forgets the chunks of an attempt that delivered nothing. */
+/*
+ * Removes the chunks of an earlier attempt that delivered nothing, before a new
+ * attempt.
+ */
 void outcome_clear_chunks(struct outcome *outcome)
 {
 	g_array_set_size(outcome->chunks, 0);
--- a/core/once/outcome_store.h
+++ b/core/once/outcome_store.h
@@ -10,17 +10,18 @@
 G_BEGIN_DECLS
 
 /*
- * What became of the requests whose ids this node answers for. An outcome may
- * lose its body to keep memory bounded; that the request ran is kept for as
- * long as the id is accepted.
+ * The outcomes of requests that carry an id for which this node is responsible,
+ * so that a repeated request gets the first answer and does not run again. The
+ * body of an answer may be dropped to bound memory; the fact that the request
+ * ran is kept for as long as the id is accepted.
  */
 
 enum outcome_state {
-	OUTCOME_NOT_RUN, /* nothing was sent to an endpoint: may run */
-	OUTCOME_PENDING, /* a call has taken it up; nothing was sent yet */
-	OUTCOME_RUNNING, /* may be at an endpoint */
-	OUTCOME_WHOLE,
-	OUTCOME_UNKNOWN /* was sent; what became of it is not known */
+	OUTCOME_NOT_RUN, /* nothing was sent, or it is idempotent: may run */
+	OUTCOME_PENDING, /* a call is in progress; no attempt is running */
+	OUTCOME_RUNNING, /* sent to an endpoint, which may have begun it */
+	OUTCOME_WHOLE,	 /* answered to the end */
+	OUTCOME_UNKNOWN	 /* may have run; its result is unknown */
 };
 
 struct outcome_chunk {
@@ -32,21 +33,21 @@
 	char *key; /* organisation and id */
 	enum outcome_state state;
 	uint64_t fingerprint; /* of service, path and body */
-	uint64_t nonce;	      /* of the claim, where one is needed */
-	bool claimed;
-	bool maybe_run; /* some run of it was begun, or may have been */
+	uint64_t nonce;	      /* of the claim, if the id needs one */
+	bool claimed;	      /* the claim was written for this process */
+	bool maybe_run;	      /* an attempt has run it, or may have */
 	int64_t expires_us;
-	GArray *waiting; /* uint64_t calls that want the same outcome */
+	GArray *waiting; /* uint64_t ids of calls waiting for this outcome */
 
-	int32_t status; /* plain: the answer; 0: a stream */
+	int32_t status; /* HTTP status of a plain answer; 0: a stream */
 	char *content_type;
 	GBytes *body;
-	char *endpoint; /* stream: where it was made */
+	char *endpoint; /* of a stream: the endpoint that produced it */
 	char *generation;
 	char *finish_reason;
 	GArray *chunks; /* struct outcome_chunk */
-	int64_t bytes;	/* of body or chunks */
-	bool truncated; /* over the bound: the answer is not kept */
+	int64_t bytes;	/* size of the body or of the chunks */
+	bool truncated; /* over max_bytes: the body or chunks are dropped */
 };
 
 struct outcome_store;
--- a/core/once/request_id.c
+++ b/core/once/request_id.c
@@ -4,7 +4,10 @@
 
 #define REQUEST_ID_PREFIX "sk1"
 
-/* The prefix a caller appends its own part to; free with g_free. */
+/*
+ * Formats the prefix to which a caller appends its own part; issued_us is in us
+ * on the issuer's clock. Free with g_free.
+ */
 char *request_id_format_prefix(const char *issuer, uint64_t incarnation,
 			       int64_t issued_us)
 {
@@ -13,7 +16,7 @@
 			       issuer, incarnation, issued_us);
 }
 
-static bool request_id_read(struct request_id *id, char **parts)
+static bool request_id_read_fields(struct request_id *id, char **parts)
 {
 	guint64 issued_us;
 
@@ -32,11 +35,12 @@
 	return true;
 }
 
-/* Reads an id; false when it has no issuer: a plain key. */
+/* Parses an id; returns false for a plain key, which has no issuer. */
 bool request_id_parse(struct request_id *id, const char *text)
 {
 	char **parts = g_strsplit(text, "~", 5);
-	bool valid = g_strv_length(parts) == 5 && request_id_read(id, parts);
+	bool valid =
+		g_strv_length(parts) == 5 && request_id_read_fields(id, parts);
 
 	g_strfreev(parts);
 	return valid;
--- a/core/once/request_id.h
+++ b/core/once/request_id.h
@@ -8,13 +8,13 @@
 G_BEGIN_DECLS
 
 /*
- * A request id that a caller made from the prefix it got with the answer of
- * GET /v1/nodes: issuer, its incarnation, the time of issue on the issuer's
- * clock, and the caller's own part. Only that incarnation of the issuer ever
- * sends a request of this id to an endpoint.
+ * A request id that a caller built on the prefix in the answer to GET
+ * /v1/nodes. It consists of the issuer, its incarnation, the time of issue on
+ * the issuer's clock, and the caller's own part. Only that incarnation of the
+ * issuer ever sends a request with this id to an endpoint.
  */
 struct request_id {
-	char issuer[64];
+	char issuer[64]; /* name of the node */
 	uint64_t incarnation;
 	int64_t issued_us;
 };
--- a/core/stream/event_id.c
+++ b/core/stream/event_id.c
@@ -6,9 +6,9 @@
 #define EVENT_ID_SIGNATURE_LENGTH 32 /* hex digits: 128 bits */
 
 /*
- * Whether a text is a plain token: letters, digits and "._:-" only. Engines
- * choose generation names; one with a separator or a line break in it could
- * pose as another field of the id or as another line of the stream.
+ * Whether a text has 1 to max_length bytes, all of them letters, digits or
+ * "._:-". Engines choose generation names; a separator or a line break in one
+ * could forge another field of the id or another line of the stream.
  */
 bool event_id_is_token(const char *text, size_t max_length)
 {
@@ -39,7 +39,10 @@
 	return signature;
 }
 
-/* How far two signatures agree must not show in the time taken. */
+/*
+ * Compares in constant time, so that the duration does not reveal how many
+ * leading digits of a forged signature are right.
+ */
 static bool signature_equal(const char *a, const char *b)
 {
 	unsigned char difference = 0;
@@ -52,7 +55,10 @@
 	return difference == 0;
 }
 
-/* The id as text for one organisation; free with g_free. */
+/*
+ * Formats an id for the callers of one organisation and signs it with the key,
+ * in base64. Free with g_free.
+ */
 char *event_id_format(const struct event_id *id, const char *organisation,
 		      const char *key)
 {
@@ -68,7 +74,7 @@
 	return encoded;
 }
 
-static bool event_id_read(struct event_id *id, char **parts)
+static bool event_id_read_fields(struct event_id *id, char **parts)
 {
 	guint64 token_count;
 
@@ -84,8 +90,9 @@
 	return true;
 }
 
-static bool event_id_check(struct event_id *id, const char *decoded,
-			   const char *organisation, const char *key)
+/* Verifies the signature, then reads the fields. */
+static bool event_id_verify(struct event_id *id, const char *decoded,
+			    const char *organisation, const char *key)
 {
 	char **parts = g_strsplit(decoded, "|", 5);
 	bool valid = false;
@@ -96,7 +103,7 @@
 		char *signature = event_id_sign(payload, organisation, key);
 
 		valid = signature_equal(signature, parts[3]) &&
-			event_id_read(id, parts);
+			event_id_read_fields(id, parts);
 		g_free(signature);
 		g_free(payload);
 	}
@@ -105,8 +112,8 @@
 }
 
 /*
- * Reads an id that a caller of this organisation sent back. False for one
- * that is malformed, forged, or another organisation's.
+ * Parses an id that a caller of this organisation sent back. Returns false if
+ * the id is malformed, forged, or was issued to another organisation.
  */
 bool event_id_parse(struct event_id *id, const char *text,
 		    const char *organisation, const char *key)
@@ -121,7 +128,7 @@
 	decoded = g_base64_decode(text, &length);
 	terminated = g_strndup((const char *)decoded, length);
 	valid = strlen(terminated) == length &&
-		event_id_check(id, terminated, organisation, key);
+		event_id_verify(id, terminated, organisation, key);
 	g_free(terminated);
 	g_free(decoded);
 	return valid;
--- a/core/stream/event_id.h
+++ b/core/stream/event_id.h
@@ -8,10 +8,11 @@
 G_BEGIN_DECLS
 
 /*
- * The id of an event in a caller's stream: which endpoint, which generation,
- * how many tokens have come. Signed with a key that all nodes share and bound
- * to the organisation, so any node can resume from it and nobody else's or a
- * made-up one is taken.
+ * The id of an event in a caller's stream. It names the endpoint, the
+ * generation and the number of tokens delivered so far. It is signed with a key
+ * that all nodes share and bound to the organisation: any node can resume the
+ * stream from it, and an id that is forged or belongs to another organisation
+ * is refused.
  */
 struct event_id {
 	char endpoint[64];
