--- a/core/plan/plan.c
+++ b/core/plan/plan.c
@@ -92,11 +92,11 @@
 	return config_find_route(config, name) != NULL;
 }
 
-/* The names of one kind that an intent removes. */
+/* The items of one kind that an intent removes. */
 struct removals {
 	const GPtrArray *names; /* char * */
-	const char *what;	/* with its article */
-	const char *list;	/* of the intent */
+	const char *noun;	/* with its article, for messages */
+	const char *list;	/* key of the items in the intent */
 	bool (*has)(const struct config *config, const char *name);
 };
 
@@ -106,11 +106,14 @@
 	error_set(error, ERROR_INVALID, "plan.create", "",
 		  "remove_%s[%u]: expected the name of %s that is there and "
 		  "not also in \"%s\"",
-		  removals->list, i, removals->what, removals->list);
+		  removals->list, i, removals->noun, removals->list);
 	return false;
 }
 
-/* A removal must name what is there and not also be replaced. */
+/*
+ * Each name to remove must exist in the base configuration, and the intent must
+ * not also replace the item.
+ */
 static bool check_removals(const struct config *base,
 			   const struct intent *intent, struct error *error)
 {
@@ -153,7 +156,7 @@
 			     g_ptr_array_index(intent->items->services, i));
 }
 
-/* An organisation that is there keeps its key if the intent gives none. */
+/* An existing organisation keeps its key if the intent contains none. */
 static bool merge_organisation(struct config *result, const struct config *base,
 			       const struct config_organisation *wanted,
 			       struct error *error)
@@ -200,7 +203,10 @@
 	return true;
 }
 
-/* What the history shows of a plan: its first differences, cut to fit. */
+/*
+ * Summary of a plan for the history: its first differences, cut off after 240
+ * bytes, and the number of differences left out.
+ */
 static char *plan_summarise(const struct plan *plan)
 {
 	GString *summary = g_string_new(NULL);
@@ -220,7 +226,10 @@
 	return g_string_free(summary, FALSE);
 }
 
-/* The result carries its own confirmation as the last of the history. */
+/*
+ * Copies the history of the base configuration to the result and appends the
+ * confirmation of this plan as its last entry.
+ */
 static void plan_add_history(struct plan *plan, const struct config *base)
 {
 	char *summary = plan_summarise(plan);
@@ -241,7 +250,10 @@
 	g_free(summary);
 }
 
-/* Makes the document say who confirms it and when. */
+/*
+ * Records the confirming operator and the time in the result and serialises the
+ * document anew.
+ */
 void plan_sign(struct plan *plan, const char *confirmed_by, int64_t now_us)
 {
 	GPtrArray *history = plan->result->history;
@@ -258,9 +270,10 @@
 }
 
 /*
- * Reads the document as every node will. One that they refuse, such as one
- * over the size that the service holds, must fail here: once written, it would
- * keep all nodes at the configuration before it.
+ * Parses the document as every node does when it loads it. A document that
+ * nodes would reject, such as one larger than the key-value service stores,
+ * must fail here: once written, it would keep all nodes at the previous
+ * configuration.
  */
 static bool plan_check_document(const struct plan *plan, struct error *error)
 {
@@ -283,8 +296,8 @@
 	       config_check(plan->result, "plan.create", error);
 }
 
-static void plan_copy(struct plan *plan, const struct config *base,
-		      const struct config *earlier)
+static void plan_copy_config(struct plan *plan, const struct config *base,
+			     const struct config *earlier)
 {
 	for (guint i = 0; i < earlier->services->len; i++)
 		copy_service(plan->result,
@@ -305,7 +318,7 @@
 	return plan_check_document(plan, error);
 }
 
-static struct plan *plan_begin(const struct config *base, const char *id,
+static struct plan *plan_alloc(const struct config *base, const char *id,
 			       const char *operator_name, int64_t now_us)
 {
 	struct plan *plan = g_new0(struct plan, 1);
@@ -323,9 +336,10 @@
 }
 
 /*
- * Turns an intent into a plan on base; NULL is an empty base of revision 0.
- * Returns NULL with ERROR_INVALID or ERROR_TOO_LARGE, which say what was
- * wrong with the intent or with the configuration it would lead to.
+ * Creates a plan that applies an intent to base; a base of NULL stands for an
+ * empty configuration of revision 0. The caller frees the plan with
+ * plan_destroy(). Returns NULL with ERROR_INVALID or ERROR_TOO_LARGE if the
+ * intent or the resulting configuration is not valid.
  */
 struct plan *plan_create(const struct config *base, GBytes *intent,
 			 const char *id, const char *operator_name,
@@ -337,7 +351,7 @@
 
 	if (!base)
 		base = empty;
-	plan = plan_begin(base, id, operator_name, now_us);
+	plan = plan_alloc(base, id, operator_name, now_us);
 	if (!wanted || !plan_merge(plan, base, wanted, error) ||
 	    !plan_finish(plan, base, error))
 		g_clear_pointer(&plan, plan_destroy);
@@ -347,18 +361,19 @@
 }
 
 /*
- * A plan that brings back the services, organisations, rollouts and routes of
- * an earlier configuration, keys included. It is a change like any other: the
- * history goes on from base. Errors as of plan_create().
+ * Creates a plan that restores the services, organisations, rollouts and routes
+ * of an earlier configuration, including the organisations' keys. A rollback is
+ * an ordinary change: its history continues that of base. Ownership and errors
+ * are those of plan_create().
  */
 struct plan *plan_create_rollback(const struct config *base,
 				  const struct config *earlier, const char *id,
 				  const char *operator_name, int64_t now_us,
 				  struct error *error)
 {
-	struct plan *plan = plan_begin(base, id, operator_name, now_us);
+	struct plan *plan = plan_alloc(base, id, operator_name, now_us);
 
-	plan_copy(plan, base, earlier);
+	plan_copy_config(plan, base, earlier);
 	g_ptr_array_add(plan->differences,
 			g_strdup_printf("roll back to the configuration of "
 					"revision %" G_GINT64_FORMAT,
@@ -415,7 +430,10 @@
 	json_builder_end_array(builder);
 }
 
-/* The plan as operators see it; holds no key and no digest of one. */
+/*
+ * Formats the plan as JSON for operators. The text contains no key and no
+ * digest of one. The caller owns the result.
+ */
 GBytes *plan_format_json(const struct plan *plan)
 {
 	JsonBuilder *builder = json_builder_new();
--- a/core/plan/plan.h
+++ b/core/plan/plan.h
@@ -10,33 +10,40 @@
 G_BEGIN_DECLS
 
 /*
- * An intent turned into a plan: what would change, what that would break, and
- * the document that confirming it writes. Bound to the revision it was made
- * on; nothing changes until it is confirmed.
- *
- * An intent is a JSON object with any of "services", "organisations",
- * "remove_services" and "remove_organisations"; named items replace those of
- * the same name whole. See docs/API.md.
+ * Capacity of one service before and after the change; 0 where the service does
+ * not exist.
  */
 struct plan_capacity {
 	char *service;
 	int64_t tokens_before; /* endpoints that state none count as 0 */
 	int64_t tokens_after;
-	int32_t endpoints_before; /* those that are not leaving */
+	int32_t endpoints_before; /* without leaving endpoints */
 	int32_t endpoints_after;
 };
 
+/*
+ * A plan is a proposed change of the configuration, computed from an
+ * operator's intent. It holds the differences, warnings about what the change
+ * would break, and the document that is written when the plan is confirmed. It
+ * is valid only on the revision it was made on, and changes nothing until it is
+ * confirmed.
+ *
+ * An intent is a JSON object with any of "services", "organisations",
+ * "remove_services" and "remove_organisations". An item in it replaces the
+ * existing item of the same name completely; the two are not merged. See
+ * docs/API.md.
+ */
 struct plan {
 	char *id;
 	char *operator_name;
 	int64_t base_revision;
 	int64_t created_us;
-	int64_t keep_us;	/* stale so long after; 0: not said */
+	int64_t keep_us;	/* valid that long after created_us; 0: unset */
 	GPtrArray *differences; /* char *: one line each */
-	GPtrArray *warnings;	/* char *: what would break */
-	GPtrArray *capacities;	/* struct plan_capacity: what stays */
-	struct config *result;	/* carries the plan's id */
-	GBytes *document;	/* the result as stored */
+	GPtrArray *warnings;	/* char *: what the change would break */
+	GPtrArray *capacities;	/* struct plan_capacity: one per service */
+	struct config *result;	/* configuration after the change */
+	GBytes *document;	/* result, serialised for the store */
 };
 
 struct plan *plan_create(const struct config *base, GBytes *intent,
--- a/core/plan/plan_answer.c
+++ b/core/plan/plan_answer.c
@@ -34,7 +34,7 @@
 			      "too many confirmers wait for this plan"},
 };
 
-/* Name of an effect, as in "took_effect". */
+/* Name of an effect, as written in "took_effect". Static string. */
 const char *plan_effect_name(enum plan_effect effect)
 {
 	switch (effect) {
@@ -48,7 +48,7 @@
 	return "unknown";
 }
 
-/* Name of a code, as in answers and logs. */
+/* Name of a code, as written in answers and logs. Static string. */
 const char *plan_answer_code_name(enum plan_answer_code code)
 {
 	return answers[code].code;
@@ -66,7 +66,7 @@
 	json_builder_end_object(builder);
 }
 
-/* Answers a call with a JSON body, which is taken over. */
+/* Answers a call with a JSON body; takes ownership of the body. */
 void plan_answer_send_json(uint64_t call, int32_t status, GBytes *body,
 			   struct action_list *actions)
 {
@@ -78,7 +78,7 @@
 	action->answer.body = body;
 }
 
-/* Answers a confirmer. */
+/* Answers a request to confirm a plan. */
 void plan_answer_send(const struct plan_answer *answer, uint64_t call,
 		      struct action_list *actions)
 {
@@ -120,7 +120,10 @@
 	}
 }
 
-/* Answers an intent that cannot be made into a plan. */
+/*
+ * Answers a request that failed with error. The HTTP status is 413 for
+ * ERROR_TOO_LARGE, 503 for ERROR_UNREACHABLE and 400 for all others.
+ */
 void plan_answer_send_error(uint64_t call, const struct error *error,
 			    struct action_list *actions)
 {
@@ -151,7 +154,10 @@
 	json_builder_end_object(builder);
 }
 
-/* The last confirmations, newest first; NULL has none. */
+/*
+ * Formats the history of the configuration as JSON, newest confirmation first;
+ * it is empty if config is NULL. The caller owns the result.
+ */
 GBytes *plan_answer_format_history(const struct config *config)
 {
 	JsonBuilder *builder = json_builder_new();
--- a/core/plan/plan_answer.h
+++ b/core/plan/plan_answer.h
@@ -10,28 +10,28 @@
 
 G_BEGIN_DECLS
 
-/* What operators are told of plans and confirmations, in JSON. */
+/* JSON answers to operators' requests about plans and confirmations. */
 
 enum plan_answer_code {
 	PLAN_ANSWER_DONE,
 	PLAN_ANSWER_CONFLICT,	  /* another plan was confirmed on its base */
-	PLAN_ANSWER_STALE,	  /* kept too long before it was confirmed */
-	PLAN_ANSWER_UNKNOWN_PLAN, /* not, or not any more, at this node */
-	PLAN_ANSWER_ELSEWHERE,	  /* made by another node */
-	PLAN_ANSWER_UNREACHABLE,  /* nothing was written: confirm again */
-	PLAN_ANSWER_IN_DOUBT,	  /* written or not: ask again */
-	PLAN_ANSWER_BUSY	  /* too many confirmers wait for it */
+	PLAN_ANSWER_STALE,	  /* confirmed after more than keep_us */
+	PLAN_ANSWER_UNKNOWN_PLAN, /* not, or no longer, held by this node */
+	PLAN_ANSWER_ELSEWHERE,	  /* another node made the plan */
+	PLAN_ANSWER_UNREACHABLE,  /* nothing was written; confirm again */
+	PLAN_ANSWER_IN_DOUBT,	  /* may have been written; confirm again */
+	PLAN_ANSWER_BUSY	  /* too many confirm requests wait for it */
 };
 
 struct plan_answer {
 	enum plan_answer_code code;
 	enum plan_effect effect;
 	const char *plan_id;
-	const char *node;	  /* elsewhere: who made it */
-	const char *confirmed_by; /* done */
-	int64_t revision;	  /* done */
-	int64_t current_revision; /* else, of the configuration; 0: unknown */
-	int64_t retry_after_us;
+	const char *node;	  /* other node that made the plan */
+	const char *confirmed_by; /* with DONE; NULL: not known */
+	int64_t revision;	  /* with DONE: where the plan took effect */
+	int64_t current_revision; /* with other codes; 0: unknown */
+	int64_t retry_after_us;	  /* 0: left out of the answer */
 };
 
 void plan_answer_send(const struct plan_answer *answer, uint64_t call,
--- a/core/plan/plan_book.c
+++ b/core/plan/plan_book.c
@@ -7,9 +7,9 @@
 
 #include <string.h>
 
-enum { MAX_OPERATOR_BYTES = 64, MAX_ROLLBACKS = 8 };
+enum { MAX_OPERATOR_BYTES = 64, MAX_PENDING_ROLLBACKS = 8 };
 
-/* An earlier configuration is being read for a rollback. */
+/* A rollback that waits for the earlier configuration to be read. */
 struct rollback {
 	uint64_t call;
 	uint64_t kv_id;
@@ -36,7 +36,10 @@
 	g_free(rollback);
 }
 
-/* Five minutes to confirm, and at most 32 plans or 8 MB of them. */
+/*
+ * Fills in the defaults: a plan can be confirmed for five minutes, and the book
+ * holds at most 32 plans with documents of at most 8 MiB in total.
+ */
 void plan_book_options_default(struct plan_book_options *options)
 {
 	memset(options, 0, sizeof(*options));
@@ -48,7 +51,11 @@
 	options->max_bytes = 8 * 1024 * 1024;
 }
 
-/* A book without plans; options are copied, next_kv_id is shared. */
+/*
+ * Creates a book without plans. The options and the node's name are copied;
+ * next_kv_id and counters are shared and must outlive the book. The caller
+ * frees the book with plan_book_destroy().
+ */
 struct plan_book *plan_book_create(const struct plan_book_options *options)
 {
 	struct plan_book *book = g_new0(struct plan_book, 1);
@@ -88,7 +95,7 @@
 	return NULL;
 }
 
-static bool plan_book_is_over(const struct plan_book *book)
+static bool plan_book_exceeds_limits(const struct plan_book *book)
 {
 	int64_t bytes = 0;
 
@@ -103,14 +110,16 @@
 }
 
 /*
- * Drops the oldest plans that nobody waits for. The newest stays: it is being
- * shown. A plan dropped in doubt is settled by the document's history.
+ * Removes the oldest plans until the book is within its limits, except plans
+ * that are being confirmed. The newest plan stays, as the operator is about to
+ * receive it. If a removed plan was in doubt, the history in the stored
+ * document shows whether it took effect.
  */
 static void plan_book_trim(struct plan_book *book)
 {
 	guint i = 0;
 
-	while (plan_book_is_over(book) && i + 1 < book->plans->len) {
+	while (plan_book_exceeds_limits(book) && i + 1 < book->plans->len) {
 		const struct plan_entry *entry =
 			g_ptr_array_index(book->plans, i);
 
@@ -122,8 +131,8 @@
 }
 
 /*
- * The name is kept in the document. One that its reader refuses would keep
- * every node from taking that configuration.
+ * Operator names are stored in the document. A name that the document's parser
+ * rejects would prevent every node from applying that configuration.
  */
 static bool check_operator(uint64_t call, const char *operator_name,
 			   struct action_list *actions)
@@ -154,7 +163,7 @@
 			       book->next_plan, base ? base->revision : 0);
 }
 
-/* Keeps a plan and answers with it, or with why there is none. */
+/* Adds a plan and answers the call with it, or with error if plan is NULL. */
 static void plan_book_add(struct plan_book *book, uint64_t call,
 			  struct plan *plan, const struct error *error,
 			  struct action_list *actions)
@@ -174,8 +183,8 @@
 }
 
 /*
- * The key-value service keeps earlier revisions for a while, so a rollback
- * reads the old document there instead of each node keeping some.
+ * Requests the earlier document from the key-value service. The service retains
+ * earlier revisions for a limited time, so nodes need not keep them.
  */
 static void begin_rollback(struct plan_book *book, uint64_t call,
 			   int64_t revision, const char *operator_name,
@@ -187,11 +196,11 @@
 	struct error error;
 
 	if (!base || revision >= base->revision ||
-	    book->rollbacks->len >= MAX_ROLLBACKS) {
+	    book->rollbacks->len >= MAX_PENDING_ROLLBACKS) {
 		error_set(&error, ERROR_INVALID, "plan.rollback", "",
 			  "rollback_to: expected a revision before the one in "
 			  "force, and at most %d at once",
-			  MAX_ROLLBACKS);
+			  MAX_PENDING_ROLLBACKS);
 		plan_answer_send_error(call, &error, actions);
 		return;
 	}
@@ -270,8 +279,9 @@
 }
 
 /*
- * Turns an intent into a plan on base, NULL being no configuration yet, and
- * answers the call with it or with what is wrong with the intent.
+ * Creates a plan that applies an intent to base, or to an empty configuration
+ * if base is NULL. Answers the call with the plan or with an error. The answer
+ * to a rollback follows after the earlier configuration has been read.
  */
 void plan_book_plan(struct plan_book *book, uint64_t call, GBytes *intent,
 		    const char *operator_name, const struct config *base,
@@ -296,7 +306,7 @@
 	plan_book_add(book, call, plan, &error, actions);
 }
 
-/* A plan's id is NODE:INCARNATION:NUMBER:BASE_REVISION. */
+/* Parses a plan's id: NODE:INCARNATION:NUMBER:BASE_REVISION. */
 static bool parse_plan_id(const char *plan_id, char **node_name,
 			  int64_t *base_revision)
 {
@@ -321,12 +331,14 @@
 }
 
 /*
- * Answers for a plan that the book does not hold, from the configuration in
- * force: it tells for certain unless it is not later than the plan's base.
+ * Answers for a plan that the book does not hold, from the history of the
+ * configuration in force. The effect is unknown if that configuration is not
+ * newer than the plan's base, or if its history no longer goes back to it.
  */
-static void answer_missing(struct plan_book *book, uint64_t call,
-			   const char *plan_id, const struct config *in_force,
-			   struct action_list *actions)
+static void answer_unknown_plan(struct plan_book *book, uint64_t call,
+				const char *plan_id,
+				const struct config *in_force,
+				struct action_list *actions)
 {
 	struct plan_answer answer = {.code = PLAN_ANSWER_UNKNOWN_PLAN,
 				     .plan_id = plan_id};
@@ -348,9 +360,10 @@
 }
 
 /*
- * Confirms a plan, once however often and by whomever it is asked. in_force is
- * the configuration in force at this node, or NULL; it settles what it can
- * before the service is asked, so that an answer is had in an outage too.
+ * Confirms a plan. The plan takes effect at most once, however many requests
+ * and operators confirm it. in_force is the configuration in force at this
+ * node, or NULL. It is checked before the key-value service is contacted, so
+ * that plans already decided there are also answered in an outage.
  */
 void plan_book_confirm(struct plan_book *book, uint64_t call,
 		       const char *plan_id, const char *operator_name,
@@ -362,14 +375,14 @@
 	if (!check_operator(call, operator_name, actions))
 		return;
 	if (!entry) {
-		answer_missing(book, call, plan_id, in_force, actions);
+		answer_unknown_plan(book, call, plan_id, in_force, actions);
 		return;
 	}
 	plan_entry_confirm(entry, call, operator_name, in_force, now_us,
 			   actions);
 }
 
-/* Answers a call with the confirmations that the configuration remembers. */
+/* Answers a call with the confirmations in the configuration's history. */
 void plan_book_history(uint64_t call, const struct config *in_force,
 		       struct action_list *actions)
 {
@@ -377,7 +390,10 @@
 			      actions);
 }
 
-/* Takes the answer to one of the book's calls; false: it is another's. */
+/*
+ * Handles the key-value service's answer to a request of this book. Returns
+ * false if the answer belongs to another request.
+ */
 bool plan_book_kv(struct plan_book *book, const struct kv_answer *answer,
 		  int64_t now_us, struct action_list *actions)
 {
@@ -396,7 +412,7 @@
 	return true;
 }
 
-/* Writes again what is due, and answers those who have waited long enough. */
+/* Repeats writes that are due and answers requests whose wait has expired. */
 void plan_book_step(struct plan_book *book, int64_t now_us,
 		    struct action_list *actions)
 {
@@ -405,7 +421,7 @@
 				actions);
 }
 
-/* When plan_book_step() has something to do; INT64_MAX: nothing. */
+/* Time at which plan_book_step() is next due; INT64_MAX: none. */
 int64_t plan_book_next_due_us(const struct plan_book *book)
 {
 	int64_t due_us = INT64_MAX;
--- a/core/plan/plan_book.h
+++ b/core/plan/plan_book.h
@@ -13,25 +13,27 @@
 #define PLAN_BOOK_CONFIG_KEY "/siskinlink/config"
 
 /*
- * The plans made at this node, and their confirmation: one compare-and-swap of
- * the configuration's key at the revision the plan was made on. Each answer
- * says in "took_effect" whether the plan did: "yes", "no" or "unknown".
+ * Holds the plans made at this node and confirms them. A plan is confirmed by
+ * one compare-and-swap of the configuration's key, conditional on the revision
+ * the plan was made on. The field "took_effect" of each answer about a plan
+ * states whether the plan took effect: "yes", "no" or "unknown".
  *
- * A plan's id carries the node that made it and its base revision. The
- * document keeps the last confirmations, so any node can tell from it whether
- * a plan took effect, also after the node that made it is gone.
+ * A plan's id contains the name of the node that made it and its base revision.
+ * The stored document lists the most recent confirmations. Every node can
+ * therefore look up there whether a plan took effect, even after the node that
+ * made the plan has been removed.
  */
 struct plan_book_options {
 	const char *node_name;
 	uint64_t incarnation;
-	uint64_t seed;		   /* jitter */
-	uint64_t *next_kv_id;	   /* shared with the node's other calls */
+	uint64_t seed;		   /* of the jitter between writes */
+	uint64_t *next_kv_id;	   /* shared with the node's other requests */
 	struct counters *counters; /* may be NULL */
-	int64_t keep_us;	   /* a plan is stale after */
-	int64_t settle_us;	   /* a confirmer waits for an answer */
+	int64_t keep_us;   /* time within which a plan can be confirmed */
+	int64_t settle_us; /* longest wait of a confirm request */
 	int64_t kv_timeout_us;
 	int32_t max_plans;
-	int64_t max_bytes; /* documents of all plans kept */
+	int64_t max_bytes; /* total size of the documents of all plans */
 };
 
 struct plan_book;
--- a/tests/operators_differential_test.cc
+++ b/tests/operators_differential_test.cc
@@ -16,23 +16,23 @@
 
 constexpr int64_t kMs = 1000;
 constexpr int64_t kSecond = 1000000;
-constexpr int64_t kLastUs = 30 * kSecond;
+constexpr int64_t kLastEventUs = 30 * kSecond;
 constexpr int64_t kHealedUs = 34 * kSecond;
 constexpr int64_t kEndUs = 60 * kSecond;
 constexpr int kNodes = 4;
-constexpr int kMostConfirms = 5;
+constexpr int kMaxConfirms = 5;
 
-/* A plan adds one organisation, and none ever takes one away. */
+/* Each plan adds one organisation, and no plan removes any. */
 struct Plan {
 	std::string organisation;
 	std::string id;
 	int node = 0;
 	int confirms = 0;
-	bool told_yes = false;
-	bool may_have = false; /* some confirmer was not told "no" */
+	bool answered_yes = false;
+	bool may_have_effect = false; /* an answer was not "no" */
 };
 
-std::string field_of(const std::string &text, const std::string &name)
+std::string JsonField(const std::string &text, const std::string &name)
 {
 	std::string mark = "\"" + name + "\":\"";
 	size_t start = text.find(mark);
@@ -64,10 +64,10 @@
 	std::vector<std::string> Run();
 	int done = 0;
 	int conflicts = 0;
-	int unsettled = 0;
+	int unknown = 0;
 
       private:
-	using Answer = std::function<void(const std::string &)>;
+	using AnswerHandler = std::function<void(const std::string &)>;
 
 	int64_t Pick(int64_t low, int64_t high)
 	{
@@ -84,22 +84,22 @@
 	}
 	void At(int64_t at_us, std::function<void()> action);
 	void Query(int node, query_type type, const std::string &plan_id,
-		   const std::string &body, Answer answer);
-	void Answered(uint64_t call, const std::string &body);
-	void State();
+		   const std::string &body, AnswerHandler answer);
+	void HandleAnswer(uint64_t call, const std::string &body);
+	void SubmitIntent();
 	void Confirm(const std::shared_ptr<Plan> &plan);
-	void Confirmed(const std::shared_ptr<Plan> &plan,
-		       const std::string &body);
-	void PlanFault(int64_t at_us);
-	void Check(const std::string &config);
+	void HandleConfirmAnswer(const std::shared_ptr<Plan> &plan,
+				 const std::string &body);
+	void ScheduleFault(int64_t at_us);
+	void CheckConfig(const std::string &config);
 
 	std::mt19937_64 random_;
 	struct world *world_ = nullptr;
 	std::vector<std::unique_ptr<std::function<void()>>> actions_;
-	std::map<uint64_t, Answer> queries_;
+	std::map<uint64_t, AnswerHandler> queries_;
 	std::vector<std::shared_ptr<Plan>> plans_;
 	std::vector<std::string> violations_;
-	int next_ = 0;
+	int next_organisation_ = 0;
 };
 
 Operators::Operators(uint64_t seed) : random_(seed)
@@ -126,11 +126,11 @@
 		if (action->type == ACTION_CALL_ANSWER)
 			text = static_cast<const char *>(
 				g_bytes_get_data(action->answer.body, &size));
-		static_cast<Operators *>(data)->Answered(
+		static_cast<Operators *>(data)->HandleAnswer(
 			call, std::string(text, size));
 	};
 	listener.broken = [](void *data, uint64_t call, bool) {
-		static_cast<Operators *>(data)->Answered(call, "");
+		static_cast<Operators *>(data)->HandleAnswer(call, "");
 	};
 	world_ = world_create(&options, &listener);
 	config = world_create_config(world_);
@@ -152,7 +152,7 @@
 }
 
 void Operators::Query(int node, query_type type, const std::string &plan_id,
-		      const std::string &body, Answer answer)
+		      const std::string &body, AnswerHandler answer)
 {
 	GBytes *bytes = g_bytes_new(body.data(), body.size());
 	uint64_t call = world_query(world_, node, type, "op", plan_id.c_str(),
@@ -162,23 +162,23 @@
 	queries_[call] = std::move(answer);
 }
 
-/* An empty body: the connection broke or was refused. */
-void Operators::Answered(uint64_t call, const std::string &body)
+/* An empty body means that the connection broke or was refused. */
+void Operators::HandleAnswer(uint64_t call, const std::string &body)
 {
 	auto found = queries_.find(call);
 
 	if (found == queries_.end())
 		return;
-	Answer answer = std::move(found->second);
+	AnswerHandler answer = std::move(found->second);
 	queries_.erase(found);
 	answer(body);
 }
 
-/* An operator states an intent, and confirms the plan a while later. */
-void Operators::State()
+/* An operator submits an intent and confirms its plan up to 2 s later. */
+void Operators::SubmitIntent()
 {
 	auto plan = std::make_shared<Plan>();
-	std::string organisation = "o" + std::to_string(next_++);
+	std::string organisation = "o" + std::to_string(next_organisation_++);
 
 	plan->organisation = organisation;
 	plan->node = static_cast<int>(Pick(0, kNodes - 1));
@@ -186,7 +186,7 @@
 	      R"({"organisations":[{"name":")" + organisation +
 		      R"(","key_sha256":")" + Digest(organisation) + R"("}]})",
 	      [this, plan](const std::string &body) {
-		      plan->id = field_of(body, "plan_id");
+		      plan->id = JsonField(body, "plan_id");
 		      if (plan->id.empty())
 			      return;
 		      plans_.push_back(plan);
@@ -203,38 +203,40 @@
 	int node =
 		Chance(85) ? plan->node : static_cast<int>(Pick(0, kNodes - 1));
 
-	if (plan->confirms++ >= kMostConfirms)
+	if (plan->confirms++ >= kMaxConfirms)
 		return;
 	Query(node, QUERY_CONFIRM, plan->id, "",
-	      [this, plan](const std::string &body) { Confirmed(plan, body); });
+	      [this, plan](const std::string &body) {
+		      HandleConfirmAnswer(plan, body);
+	      });
 }
 
-void Operators::Confirmed(const std::shared_ptr<Plan> &plan,
-			  const std::string &body)
+void Operators::HandleConfirmAnswer(const std::shared_ptr<Plan> &plan,
+				    const std::string &body)
 {
-	std::string effect = field_of(body, "took_effect");
-	bool conflict = field_of(body, "code") == "conflict";
+	std::string effect = JsonField(body, "took_effect");
+	bool conflict = JsonField(body, "code") == "conflict";
 
 	if (effect == "yes") {
-		done += !plan->told_yes;
-		plan->told_yes = true;
+		done += !plan->answered_yes;
+		plan->answered_yes = true;
 		return;
 	}
 	conflicts += conflict;
-	unsettled += effect != "no";
-	if (effect == "no" && plan->told_yes)
+	unknown += effect != "no";
+	if (effect == "no" && plan->answered_yes)
 		violations_.push_back(plan->organisation +
-				      ": told yes, and then no");
+				      ": answered yes and later no");
 	if (effect != "no")
-		plan->may_have = true;
+		plan->may_have_effect = true;
 	if (conflict && Chance(70))
-		State();
+		SubmitIntent();
 	else if (!conflict && Chance(80))
 		At(Now() + Pick(0, 3 * kSecond),
 		   [this, plan] { Confirm(plan); });
 }
 
-void Operators::PlanFault(int64_t at_us)
+void Operators::ScheduleFault(int64_t at_us)
 {
 	int64_t for_us = Pick(200 * kMs, 6 * kSecond);
 	int node = static_cast<int>(Pick(0, kNodes - 1));
@@ -263,23 +265,24 @@
 	}
 	At(at_us, [this, mode] { world_set_kv_mode(world_, &mode); });
 	At(at_us + for_us, [this] {
-		struct world_kv_mode well = {};
-		world_set_kv_mode(world_, &well);
+		struct world_kv_mode healthy = {};
+		world_set_kv_mode(world_, &healthy);
 	});
 }
 
-void Operators::Check(const std::string &config)
+void Operators::CheckConfig(const std::string &config)
 {
 	for (const auto &plan : plans_) {
 		bool in_force = config.find("\"" + plan->organisation + "\"") !=
 				std::string::npos;
 
-		if (plan->told_yes && !in_force)
-			violations_.push_back(plan->organisation +
-					      ": told yes, and is not there");
-		if (in_force && !plan->told_yes && !plan->may_have)
+		if (plan->answered_yes && !in_force)
+			violations_.push_back(
+				plan->organisation +
+				": answered yes, but is not in force");
+		if (in_force && !plan->answered_yes && !plan->may_have_effect)
 			violations_.push_back(plan->organisation +
-					      ": told no, and is there");
+					      ": answered no, but is in force");
 	}
 }
 
@@ -288,19 +291,21 @@
 	int64_t count = Pick(5, 30);
 
 	for (int64_t i = 0; i < count; i++)
-		At(Pick(2 * kSecond, kLastUs), [this] { State(); });
+		At(Pick(2 * kSecond, kLastEventUs), [this] { SubmitIntent(); });
 	for (int64_t i = Pick(0, 8); i > 0; i--)
-		PlanFault(Pick(2 * kSecond, kLastUs));
+		ScheduleFault(Pick(2 * kSecond, kLastEventUs));
 	At(kHealedUs, [this] {
-		struct world_kv_mode well = {};
-		world_set_kv_mode(world_, &well);
+		struct world_kv_mode healthy = {};
+		world_set_kv_mode(world_, &healthy);
 		for (int i = 0; i < kNodes; i++)
 			world_start_node(world_, i);
 	});
 	for (int i = 0; i < kNodes; i++)
 		At(kEndUs - kSecond, [this, i] {
 			Query(i, QUERY_SHOW, "", "",
-			      [this](const std::string &body) { Check(body); });
+			      [this](const std::string &body) {
+				      CheckConfig(body);
+			      });
 		});
 	world_run_until(world_, kEndUs);
 	if (!queries_.empty())
@@ -311,19 +316,19 @@
 } // namespace
 
 /*
- * Operators at several nodes confirm plans made on the same old state, twice
- * and again, while answers of the key-value service are lost, late or missing
- * and nodes die or stand still. Whoever is told that a plan took effect finds
- * it in force at every node in the end, and what was only ever told "no" is
- * not there: no confirmed change is lost or reverted, and none slips in.
+ * Operators at several nodes repeatedly confirm plans made on the same outdated
+ * revision, while answers of the key-value service are lost, late or missing
+ * and nodes crash or pause. A plan answered with "yes" is in force at every
+ * node at the end, and a plan answered only with "no" is not: no confirmed
+ * change is lost or reverted, and no rejected change takes effect.
  */
-TEST(OperatorsDifferential, WhatIsToldOfAPlanIsSoInTheEnd)
+TEST(OperatorsDifferential, FinalConfigurationMatchesAnswers)
 {
 	const char *seeds = getenv("SEEDS");
 	const char *only = getenv("SEED");
 	uint64_t first = only ? strtoull(only, nullptr, 10) : 1;
 	uint64_t count = only ? 1 : seeds ? strtoull(seeds, nullptr, 10) : 100;
-	int done = 0, conflicts = 0, unsettled = 0;
+	int done = 0, conflicts = 0, unknown = 0;
 
 	for (uint64_t seed = first; seed < first + count; seed++) {
 		Operators operators(seed);
@@ -336,9 +341,9 @@
 				   "--gtest_filter='OperatorsDifferential.*'";
 		done += operators.done;
 		conflicts += operators.conflicts;
-		unsettled += operators.unsettled;
+		unknown += operators.unknown;
 	}
-	printf("%lu seeds: %d plans done, %d conflicts, %d answers unsettled\n",
-	       count, done, conflicts, unsettled);
+	printf("%lu seeds: %d plans done, %d conflicts, %d answers unknown\n",
+	       count, done, conflicts, unknown);
 	EXPECT_GT(done, 0);
 }
--- a/tests/plan_book_test.cc
+++ b/tests/plan_book_test.cc
@@ -13,10 +13,10 @@
 const int64_t SECOND = G_USEC_PER_SEC;
 const char *const KEY = "/siskinlink/config";
 
-/* How the service treats the next writes. */
+/* How the key-value service handles the next requests. */
 enum service { WORKS, LOSES_ANSWER, LOSES_REQUEST, REFUSES, STALLS };
 
-std::string text_of(GBytes *bytes)
+std::string bytes_to_string(GBytes *bytes)
 {
 	gsize size = 0;
 	const char *data = (const char *)g_bytes_get_data(bytes, &size);
@@ -24,7 +24,7 @@
 	return std::string(data, size);
 }
 
-/* One node's book, and what it did, as a transcript. */
+/* The plan book of one node, and the answers it gave. */
 class node
 {
       public:
@@ -44,15 +44,15 @@
 
 	~node()
 	{
-		for (auto &request : held)
+		for (auto &request : stalled)
 			kv_request_clear(&request);
 		config_unref(config);
 		action_list_destroy(actions);
 		plan_book_destroy(book);
 	}
 
-	/* Takes the stored document over, as the watch would. */
-	void learn()
+	/* Loads the stored document, as the watch does in a real node. */
+	void load_stored_config()
 	{
 		GPtrArray *entries = kv_entries_create();
 
@@ -102,8 +102,8 @@
 		return bodies.size() > before ? bodies.back() : "(waits)";
 	}
 
-	/* Runs for so long in virtual time; returns what was answered. */
-	std::string pass(int64_t us)
+	/* Advances virtual time by us; returns the answers of that time. */
+	std::string advance(int64_t us)
 	{
 		int64_t end_us = now_us + us;
 		size_t before = bodies.size();
@@ -120,12 +120,12 @@
 		return text;
 	}
 
-	/* The writes that stalled arrive now; their answers are lost or not. */
-	void release(bool answered)
+	/* Delivers the stalled writes; their answers are lost if !answered. */
+	void deliver_stalled(bool answered)
 	{
 		std::vector<struct kv_request> requests;
 
-		requests.swap(held);
+		requests.swap(stalled);
 		for (auto &request : requests) {
 			serve(request, answered ? WORKS : LOSES_ANSWER);
 			kv_request_clear(&request);
@@ -135,7 +135,7 @@
 
 	enum service service = WORKS;
 	int64_t now_us = 1000 * SECOND;
-	int writes = 0;
+	int writes = 0; /* requests to the key-value service */
 	struct config *config = nullptr;
 	std::vector<std::string> bodies; /* "STATUS JSON" */
 
@@ -169,12 +169,13 @@
 			if (action->type == ACTION_CALL_ANSWER)
 				bodies.push_back(
 					std::to_string(action->answer.status) +
-					" " + text_of(action->answer.body));
+					" " +
+					bytes_to_string(action->answer.body));
 			if (action->type != ACTION_KV)
 				continue;
 			writes++;
 			if (service == STALLS) {
-				held.push_back(action->kv);
+				stalled.push_back(action->kv);
 				action->kv = {};
 			} else {
 				serve(action->kv, service);
@@ -191,7 +192,7 @@
 	struct action_list *actions;
 	uint64_t next_kv_id = 1;
 	uint64_t call = 0;
-	std::vector<struct kv_request> held;
+	std::vector<struct kv_request> stalled;
 };
 
 class PlanBook : public ::testing::Test
@@ -206,19 +207,19 @@
 		kv_model_destroy(model);
 	}
 
-	void learn()
+	void load_stored_config()
 	{
-		n1.learn();
-		n2.learn();
+		n1.load_stored_config();
+		n2.load_stored_config();
 	}
 
-	/* How many confirmations the stored document remembers of a plan. */
-	int stored(const std::string &plan_id)
+	/* Number of confirmations of a plan in the stored document. */
+	int count_confirmations(const std::string &plan_id)
 	{
 		node reader("reader", model);
 		int count = 0;
 
-		reader.learn();
+		reader.load_stored_config();
 		for (guint i = 0;
 		     reader.config && i < reader.config->history->len; i++)
 			count += plan_id ==
@@ -230,14 +231,15 @@
 	}
 };
 
-std::string done(const std::string &id, int revision)
+/* Expected answers to a confirm request, as "STATUS JSON". */
+std::string done_answer(const std::string &id, int revision)
 {
 	return "200 {\"plan_id\":\"" + id +
 	       "\",\"took_effect\":\"yes\",\"revision\":" +
 	       std::to_string(revision) + ",\"confirmed_by\":\"brahim\"}";
 }
 
-std::string conflict(const std::string &id, int revision)
+std::string conflict_answer(const std::string &id, int revision)
 {
 	return "409 {\"plan_id\":\"" + id +
 	       "\",\"took_effect\":\"no\",\"current_revision\":" +
@@ -246,7 +248,7 @@
 	       "was confirmed on the same revision; make a new plan\"}}";
 }
 
-std::string in_doubt(const std::string &id)
+std::string in_doubt_answer(const std::string &id)
 {
 	return "504 {\"plan_id\":\"" + id +
 	       "\",\"took_effect\":\"unknown\",\"error\":{\"code\":\"in_doubt\""
@@ -255,7 +257,7 @@
 	       "\"retry_after_ms\":2000}}";
 }
 
-std::string unreachable(const std::string &id)
+std::string unreachable_answer(const std::string &id)
 {
 	return "503 {\"plan_id\":\"" + id +
 	       "\",\"took_effect\":\"no\",\"error\":{\"code\":"
@@ -281,14 +283,15 @@
 			  "\"tokens_before\":0,\"tokens_after\":0}]}",
 		  n1.bodies.back());
 	EXPECT_EQ(0, n1.writes);
-	EXPECT_EQ(done(id, 2), n1.confirm(id));
+	EXPECT_EQ(done_answer(id, 2), n1.confirm(id));
 	EXPECT_EQ(1, n1.writes);
 }
 
 /*
- * An operator confirms, is not sure and confirms again, at once and later, and
- * a colleague does the same. All are told that the plan took effect, and it is
- * written once, with the name of who was first.
+ * An operator confirms a plan again while the first request waits, and another
+ * operator confirms it too, during the wait and later. Each answer states that
+ * the plan took effect, and the plan is written once, with the name of the
+ * operator who confirmed it first.
  */
 TEST_F(PlanBook, ConfirmingTwiceWritesOnce)
 {
@@ -297,39 +300,39 @@
 	n1.service = STALLS;
 	EXPECT_EQ("(waits)", n1.confirm(id));
 	EXPECT_EQ("(waits)", n1.confirm(id, "chaima"));
-	n1.release(true);
-	EXPECT_EQ(done(id, 2), n1.bodies[1]);
-	EXPECT_EQ(done(id, 2), n1.bodies[2]);
-	EXPECT_EQ(done(id, 2), n1.confirm(id, "chaima"));
+	n1.deliver_stalled(true);
+	EXPECT_EQ(done_answer(id, 2), n1.bodies[1]);
+	EXPECT_EQ(done_answer(id, 2), n1.bodies[2]);
+	EXPECT_EQ(done_answer(id, 2), n1.confirm(id, "chaima"));
 	EXPECT_EQ(1, n1.writes);
-	EXPECT_EQ(1, stored(id));
+	EXPECT_EQ(1, count_confirmations(id));
 }
 
 /*
- * Two operators plan on the same revision at two nodes and confirm. The first
- * is in force; the second is told "no" and the revision that stands now, and
- * its change is not merged into what it never saw.
+ * Two operators make plans on the same revision at two nodes and confirm them.
+ * The first plan takes effect. The second is answered with "no" and the current
+ * revision, and is not merged into a configuration that it was not made on.
  */
 TEST_F(PlanBook, SecondOnOneBaseConflicts)
 {
 	std::string first = n1.plan("a");
 	std::string second = n2.plan("b");
 
-	EXPECT_EQ(done(first, 2), n1.confirm(first));
-	EXPECT_EQ(conflict(second, 2), n2.confirm(second));
-	EXPECT_EQ(conflict(second, 2), n2.confirm(second));
+	EXPECT_EQ(done_answer(first, 2), n1.confirm(first));
+	EXPECT_EQ(conflict_answer(second, 2), n2.confirm(second));
+	EXPECT_EQ(conflict_answer(second, 2), n2.confirm(second));
 	EXPECT_EQ(1, n2.writes);
-	EXPECT_EQ(0, stored(second));
+	EXPECT_EQ(0, count_confirmations(second));
 }
 
-TEST_F(PlanBook, PassedBaseIsRefusedWithoutAWrite)
+TEST_F(PlanBook, OutdatedBaseIsRefusedWithoutAWrite)
 {
 	std::string first = n1.plan("a");
 	std::string second = n2.plan("b");
 
 	n1.confirm(first);
-	learn();
-	EXPECT_EQ(conflict(second, 2), n2.confirm(second));
+	load_stored_config();
+	EXPECT_EQ(conflict_answer(second, 2), n2.confirm(second));
 	EXPECT_EQ(0, n2.writes);
 }
 
@@ -347,22 +350,22 @@
 }
 
 /*
- * The service applies the write and its answer is lost. The book writes the
- * same again; the conflict shows its own plan in the document, and the
- * operator is told "yes" although no write was ever acknowledged.
+ * The service applies the write and its answer is lost. The book repeats the
+ * write; the conflict returns a document that lists its own plan, and the
+ * answer is "yes" although no write was acknowledged.
  */
-TEST_F(PlanBook, LostAnswerIsSettledByWritingAgain)
+TEST_F(PlanBook, LostAnswerIsResolvedByWritingAgain)
 {
 	std::string id = n1.plan("a");
 
 	n1.service = LOSES_ANSWER;
 	EXPECT_EQ("(waits)", n1.confirm(id));
 	n1.service = WORKS;
-	EXPECT_EQ(done(id, 2) + "\n", n1.pass(SECOND));
-	EXPECT_EQ(1, stored(id));
+	EXPECT_EQ(done_answer(id, 2) + "\n", n1.advance(SECOND));
+	EXPECT_EQ(1, count_confirmations(id));
 }
 
-/* As before, but the write itself was lost: the second one is applied. */
+/* The write itself is lost, and the repeated write is applied. */
 TEST_F(PlanBook, LostRequestIsWrittenAgain)
 {
 	std::string id = n1.plan("a");
@@ -370,32 +373,35 @@
 	n1.service = LOSES_REQUEST;
 	EXPECT_EQ("(waits)", n1.confirm(id));
 	n1.service = WORKS;
-	EXPECT_EQ(done(id, 2) + "\n", n1.pass(SECOND));
-	EXPECT_EQ(1, stored(id));
+	EXPECT_EQ(done_answer(id, 2) + "\n", n1.advance(SECOND));
+	EXPECT_EQ(1, count_confirmations(id));
 }
 
 /*
- * The answer is lost, and before the book can ask, two other plans are
- * confirmed on top. The document in force is another's, yet its history shows
- * the plan, so the operator is told "yes" and at which revision.
+ * The answer is lost, and two later plans are confirmed before the book repeats
+ * the write. The document in force was written by another plan, but its history
+ * lists this one, so the answer is "yes" with the revision.
  */
-TEST_F(PlanBook, LostAnswerIsSettledByLaterHistory)
+TEST_F(PlanBook, LostAnswerIsResolvedByLaterHistory)
 {
 	std::string id = n1.plan("a");
 
 	n1.service = LOSES_ANSWER;
 	n1.confirm(id);
 	for (const char *service : {"b", "c"}) {
-		n2.learn();
+		n2.load_stored_config();
 		n2.confirm(n2.plan(service));
 	}
 	n1.service = WORKS;
-	EXPECT_EQ(done(id, 2) + "\n", n1.pass(SECOND));
-	EXPECT_EQ(1, stored(id));
+	EXPECT_EQ(done_answer(id, 2) + "\n", n1.advance(SECOND));
+	EXPECT_EQ(1, count_confirmations(id));
 }
 
-/* The request was lost and another's plan went in on the same base: "no". */
-TEST_F(PlanBook, LostRequestAndOtherPlanIsNo)
+/*
+ * The request is lost and another plan is confirmed on the same base: the
+ * answer is "no".
+ */
+TEST_F(PlanBook, LostRequestAndOtherPlanIsConflict)
 {
 	std::string id = n1.plan("a");
 
@@ -403,30 +409,30 @@
 	n1.confirm(id);
 	n2.confirm(n2.plan("b"));
 	n1.service = WORKS;
-	EXPECT_EQ(conflict(id, 2) + "\n", n1.pass(SECOND));
+	EXPECT_EQ(conflict_answer(id, 2) + "\n", n1.advance(SECOND));
 }
 
 /*
- * The service loses every answer for as long as the operator waits. The answer
- * is "unknown"; asking again with the same plan settles it, here from the
- * configuration that has reached the node, without the service.
+ * The service loses every answer until the request's wait expires, so the
+ * answer is "unknown". A later request to confirm the same plan is answered
+ * from the configuration that has reached the node, without the service.
  */
-TEST_F(PlanBook, OutageIsUnknownAndAskingAgainSettles)
+TEST_F(PlanBook, OutageIsUnknownUntilConfirmedAgain)
 {
 	std::string id = n1.plan("a");
 
 	n1.service = LOSES_ANSWER;
 	EXPECT_EQ("(waits)", n1.confirm(id));
-	EXPECT_EQ(in_doubt(id) + "\n", n1.pass(10 * SECOND));
-	n1.learn();
+	EXPECT_EQ(in_doubt_answer(id) + "\n", n1.advance(10 * SECOND));
+	n1.load_stored_config();
 	n1.service = REFUSES;
-	EXPECT_EQ(done(id, 2), n1.confirm(id));
-	EXPECT_EQ(1, stored(id));
+	EXPECT_EQ(done_answer(id, 2), n1.confirm(id));
+	EXPECT_EQ(1, count_confirmations(id));
 }
 
 /*
- * A write stalls on its way, the operator is told "unknown", and the write
- * arrives a minute later. Nothing was told "no" in between that then happened.
+ * A write stalls in the network and arrives a minute later. Until then the
+ * answers are "unknown", never "no", as the write may still be applied.
  */
 TEST_F(PlanBook, WriteThatArrivesLate)
 {
@@ -434,47 +440,48 @@
 
 	n1.service = STALLS;
 	EXPECT_EQ("(waits)", n1.confirm(id));
-	EXPECT_EQ(in_doubt(id) + "\n", n1.pass(10 * SECOND));
+	EXPECT_EQ(in_doubt_answer(id) + "\n", n1.advance(10 * SECOND));
 	EXPECT_EQ("(waits)", n1.confirm(id));
-	EXPECT_EQ(in_doubt(id) + "\n", n1.pass(60 * SECOND));
+	EXPECT_EQ(in_doubt_answer(id) + "\n", n1.advance(60 * SECOND));
 	EXPECT_EQ(1, n1.writes);
 	n1.service = WORKS;
-	n1.release(false);
-	EXPECT_EQ(done(id, 2), n1.confirm(id));
-	EXPECT_EQ(1, stored(id));
+	n1.deliver_stalled(false);
+	EXPECT_EQ(done_answer(id, 2), n1.confirm(id));
+	EXPECT_EQ(1, count_confirmations(id));
 }
 
 /*
- * The service refuses connections: nothing can have been written, so the
- * answer is "no" with the same plan still good, also after it was refused.
+ * The service refuses connections. Nothing can have been written, so the answer
+ * is "no", and the same plan can be confirmed once the service works again.
  */
-TEST_F(PlanBook, RefusedConnectionsAreNoAndThePlanStaysGood)
+TEST_F(PlanBook, RefusedConnectionsKeepThePlanValid)
 {
 	std::string id = n1.plan("a");
 
 	n1.service = REFUSES;
 	EXPECT_EQ("(waits)", n1.confirm(id));
-	EXPECT_EQ(unreachable(id) + "\n", n1.pass(10 * SECOND));
+	EXPECT_EQ(unreachable_answer(id) + "\n", n1.advance(10 * SECOND));
 	EXPECT_GE(n1.writes, 4);
 	EXPECT_LE(n1.writes, 12);
 	n1.service = WORKS;
-	EXPECT_EQ(done(id, 2), n1.confirm(id));
+	EXPECT_EQ(done_answer(id, 2), n1.confirm(id));
 }
 
 /*
- * The plan was made at another node, or the node that made it was replaced.
- * The configuration in force tells whether it took effect; where it cannot,
- * the answer is "unknown" and names the node.
+ * Plans of another node, or of a node that was replaced. The configuration in
+ * force shows whether a plan took effect; otherwise the answer is "unknown". If
+ * another node made the plan, the answer names that node.
  */
 TEST_F(PlanBook, PlansOfOtherNodes)
 {
-	std::string mine = n2.plan("b");
+	std::string other = n2.plan("b");
 	std::string id = n1.plan("a");
-	std::string head = "404 {\"plan_id\":\"" + id +
-			   "\",\"took_effect\":\"unknown\",\"node\":\"n1\"";
+	std::string unknown_at_n2 =
+		"404 {\"plan_id\":\"" + id +
+		"\",\"took_effect\":\"unknown\",\"node\":\"n1\"";
 	node replaced("n1", model);
 
-	EXPECT_EQ(0u, n2.confirm(id).find(head)) << n2.bodies.back();
+	EXPECT_EQ(0u, n2.confirm(id).find(unknown_at_n2)) << n2.bodies.back();
 	EXPECT_EQ(0u, replaced.confirm(id).find(
 			      "404 {\"plan_id\":\"" + id +
 			      "\",\"took_effect\":\"unknown\",\"error\":{"
@@ -484,8 +491,8 @@
 			      "\"unknown\",\"error\":{\"code\":"
 			      "\"plan_unknown\""));
 	n1.confirm(id);
-	learn();
-	replaced.learn();
+	load_stored_config();
+	replaced.load_stored_config();
 	EXPECT_EQ("200 {\"plan_id\":\"" + id +
 			  "\",\"took_effect\":\"yes\",\"node\":\"n1\","
 			  "\"revision\":2}",
@@ -493,23 +500,26 @@
 	EXPECT_EQ("200 {\"plan_id\":\"" + id +
 			  "\",\"took_effect\":\"yes\",\"revision\":2}",
 		  replaced.confirm(id));
-	EXPECT_EQ(0u, n1.confirm(mine).find(
-			      "404 {\"plan_id\":\"" + mine +
+	EXPECT_EQ(0u, n1.confirm(other).find(
+			      "404 {\"plan_id\":\"" + other +
 			      "\",\"took_effect\":\"no\",\"node\":\"n2\","
 			      "\"current_revision\":2"));
 }
 
-/* History forgets: then neither "yes" nor "no" may be said of an old plan. */
-TEST_F(PlanBook, ForgottenPlanIsUnknown)
+/*
+ * A plan older than the bounded history may or may not have taken effect, so
+ * the answer is "unknown".
+ */
+TEST_F(PlanBook, PlanDroppedFromHistoryIsUnknown)
 {
 	std::string old = n1.plan("a");
 
 	n1.confirm(old);
 	for (int i = 0; i < CONFIG_HISTORY_MAX; i++) {
-		n2.learn();
+		n2.load_stored_config();
 		n2.confirm(n2.plan("b"));
 	}
-	n2.learn();
+	n2.load_stored_config();
 	EXPECT_EQ(CONFIG_HISTORY_MAX, (int)n2.config->history->len);
 	EXPECT_EQ(0u, n2.confirm(old).find("404 {\"plan_id\":\"" + old +
 					   "\",\"took_effect\":\"unknown\""));
@@ -531,27 +541,30 @@
 	std::string back;
 
 	n1.confirm(first);
-	n1.learn();
+	n1.load_stored_config();
 	second = n1.plan("b");
 	n1.confirm(second);
-	n1.learn();
+	n1.load_stored_config();
 	back = n1.plan_intent("{\"rollback_to\":2}");
 	EXPECT_NE(std::string::npos,
 		  n1.bodies.back().find(
 			  "\"differences\":[\"roll back to the configuration "
 			  "of revision 2\",\"remove service b: 0 endpoints\"]"))
 		<< n1.bodies.back();
-	EXPECT_EQ(done(back, 4), n1.confirm(back));
-	n1.learn();
+	EXPECT_EQ(done_answer(back, 4), n1.confirm(back));
+	n1.load_stored_config();
 	EXPECT_EQ(1u, n1.config->services->len);
 	EXPECT_EQ(3u, n1.config->history->len);
 }
 
-/* What is not kept any more, or not there yet, is an error and no plan. */
-TEST_F(PlanBook, RollbackToWhatIsNotThere)
+/*
+ * A rollback to the current revision, to a revision that the service does not
+ * hold, or while the service is unreachable is an error and makes no plan.
+ */
+TEST_F(PlanBook, RollbackToMissingRevision)
 {
 	n1.confirm(n1.plan("a"));
-	n1.learn();
+	n1.load_stored_config();
 	n1.plan_intent("{\"rollback_to\":2}");
 	EXPECT_EQ(0u, n1.bodies.back().find("400 ")) << n1.bodies.back();
 	n1.plan_intent("{\"rollback_to\":1}");
