--- a/core/limit/organisation_limits.c
+++ b/core/limit/organisation_limits.c
@@ -1,32 +1,32 @@
 #include "core/limit/organisation_limits.h"
 
-#define SHARE_LIFE_US (15 * G_USEC_PER_SEC)
-#define REPORT_LIFE_US (15 * G_USEC_PER_SEC)
-#define RETRY_LEAST_US 100000
-#define TOKENS_RETRY_US 1000000
-#define DEMAND_WEIGHT 0.5 /* of the newest interval */
+#define SHARE_TTL_US (15 * G_USEC_PER_SEC)
+#define REPORT_TTL_US (15 * G_USEC_PER_SEC)
+#define MIN_RATE_RETRY_AFTER_US 100000
+#define TOKEN_RETRY_AFTER_US 1000000
+#define DEMAND_WEIGHT 0.5 /* weight of the newest interval */
 
-/* What one entry node knows of one organisation. */
+/* State of one organisation on an entry node. */
 struct organisation_use {
 	char *name;
-	double stock;	   /* requests it may still admit */
-	int64_t filled_us; /* when the stock was brought up to date */
-	int64_t tokens;	   /* held by its requests here */
-	int64_t asked;	   /* requests since the last report */
-	double demand;	   /* requests per second, smoothed */
+	double credit;	     /* requests that may be admitted now */
+	int64_t refilled_us; /* last update of credit */
+	int64_t tokens;	     /* held by its running requests here */
+	int64_t requests;    /* received since the last report */
+	double demand;	     /* requests per second, smoothed */
 	int64_t reported_us;
-	bool reported_idle; /* the last report said that nothing is wanted */
+	bool reported_idle; /* the last report had no demand */
 	double share_rate;
 	int64_t share_tokens;
-	int64_t share_us; /* when the share came; 0: never */
+	int64_t share_us; /* when the share arrived; 0: never */
 };
 
-/* What the home knows of one node's demand. */
+/* Demand in the last report of one node, kept by the home. */
 struct node_demand {
 	char *node;
 	double rate;
 	double tokens;
-	int64_t heard_us;
+	int64_t received_us;
 };
 
 struct organisation_limits {
@@ -55,7 +55,10 @@
 	g_ptr_array_unref(data);
 }
 
-/* Empty limits: nothing held, nothing reported. */
+/*
+ * Creates limits without any use or reported demand. The caller frees them
+ * with organisation_limits_destroy.
+ */
 struct organisation_limits *organisation_limits_create(void)
 {
 	struct organisation_limits *limits =
@@ -78,8 +81,8 @@
 	g_free(limits);
 }
 
-static struct organisation_use *limits_use(struct organisation_limits *limits,
-					   const char *name)
+static struct organisation_use *
+limits_ensure_use(struct organisation_limits *limits, const char *name)
 {
 	struct organisation_use *use = g_hash_table_lookup(limits->uses, name);
 
@@ -87,21 +90,22 @@
 		return use;
 	use = g_new0(struct organisation_use, 1);
 	use->name = g_strdup(name);
-	use->stock = 1;
+	use->credit = 1;
 	g_hash_table_insert(limits->uses, use->name, use);
 	return use;
 }
 
-static bool use_has_share(const struct organisation_use *use, int64_t now_us)
+static bool use_has_fresh_share(const struct organisation_use *use,
+				int64_t now_us)
 {
-	return use->share_us && now_us - use->share_us <= SHARE_LIFE_US;
+	return use->share_us && now_us - use->share_us <= SHARE_TTL_US;
 }
 
 static double use_rate(const struct organisation_use *use,
 		       const struct config_organisation *organisation,
 		       size_t node_count, int64_t now_us)
 {
-	if (use_has_share(use, now_us))
+	if (use_has_fresh_share(use, now_us))
 		return use->share_rate;
 	return (double)organisation->requests_per_s /
 	       (double)MAX(node_count, 1);
@@ -111,24 +115,26 @@
 			       const struct config_organisation *organisation,
 			       size_t node_count, int64_t now_us)
 {
-	if (use_has_share(use, now_us))
+	if (use_has_fresh_share(use, now_us))
 		return use->share_tokens;
 	return organisation->concurrent_tokens / (int64_t)MAX(node_count, 1);
 }
 
-/* One second's worth may be saved up, and at least one request. */
-static void use_fill(struct organisation_use *use, double rate, int64_t now_us)
+/* Credit accumulates up to one second of the rate, and at least 1 request. */
+static void use_refill(struct organisation_use *use, double rate,
+		       int64_t now_us)
 {
-	double seconds = (double)(now_us - use->filled_us) / G_USEC_PER_SEC;
+	double seconds = (double)(now_us - use->refilled_us) / G_USEC_PER_SEC;
 
-	use->filled_us = now_us;
-	use->stock = MIN(use->stock + rate * seconds, MAX(rate, 1));
+	use->refilled_us = now_us;
+	use->credit = MIN(use->credit + rate * seconds, MAX(rate, 1));
 }
 
 /*
- * Admits a request of so many tokens to begin with, or says which limit it is
- * over and when to come back. Limits of 0 are none. An admitted request's
- * tokens are counted until organisation_limits_add_tokens takes them off.
+ * Admits a request that initially holds the given number of tokens. If it
+ * exceeds a limit, returns which one and sets retry_after_us to the time in us
+ * after which to retry. A limit of 0 means unlimited. The tokens of an admitted
+ * request are counted until organisation_limits_add_tokens subtracts them.
  */
 enum refusal
 organisation_limits_admit(struct organisation_limits *limits,
@@ -136,52 +142,56 @@
 			  int64_t tokens, size_t node_count, int64_t now_us,
 			  int64_t *retry_after_us)
 {
-	struct organisation_use *use = limits_use(limits, organisation->name);
+	struct organisation_use *use =
+		limits_ensure_use(limits, organisation->name);
 	double rate = use_rate(use, organisation, node_count, now_us);
 
-	use->asked++;
+	use->requests++;
 	if (organisation->concurrent_tokens > 0 && use->tokens > 0 &&
 	    use->tokens + tokens >
 		    use_token_share(use, organisation, node_count, now_us)) {
-		*retry_after_us = TOKENS_RETRY_US;
+		*retry_after_us = TOKEN_RETRY_AFTER_US;
 		return REFUSAL_TOKEN_LIMIT;
 	}
 	if (organisation->requests_per_s > 0) {
-		use_fill(use, rate, now_us);
-		if (use->stock < 1) {
+		use_refill(use, rate, now_us);
+		if (use->credit < 1) {
 			*retry_after_us =
-				MAX((int64_t)((1 - use->stock) /
+				MAX((int64_t)((1 - use->credit) /
 					      MAX(rate, 0.01) * G_USEC_PER_SEC),
-				    RETRY_LEAST_US);
+				    MIN_RATE_RETRY_AFTER_US);
 			return REFUSAL_RATE_LIMIT;
 		}
-		use->stock -= 1;
+		use->credit -= 1;
 	}
 	use->tokens += tokens;
 	return REFUSAL_NONE;
 }
 
-/* Counts tokens made, or with a negative number tokens let go. */
+/* Adds output tokens to those held; a negative number releases tokens. */
 void organisation_limits_add_tokens(struct organisation_limits *limits,
 				    const char *organisation, int64_t tokens)
 {
-	struct organisation_use *use = limits_use(limits, organisation);
+	struct organisation_use *use = limits_ensure_use(limits, organisation);
 
 	use->tokens = MAX(use->tokens + tokens, 0);
 }
 
-/* Writes what this node wants of an organisation's limit. */
+/*
+ * Writes this node's demand on an organisation's limits into the report and
+ * starts the next interval.
+ */
 void organisation_limits_report(struct organisation_limits *limits,
 				const char *organisation, int64_t now_us,
 				struct peer_limit *report)
 {
-	struct organisation_use *use = limits_use(limits, organisation);
+	struct organisation_use *use = limits_ensure_use(limits, organisation);
 	double seconds =
 		MAX((double)(now_us - use->reported_us), 1) / G_USEC_PER_SEC;
-	double asked = (double)use->asked / seconds;
+	double rate = (double)use->requests / seconds;
 
-	use->demand += (asked - use->demand) * DEMAND_WEIGHT;
-	use->asked = 0;
+	use->demand += (rate - use->demand) * DEMAND_WEIGHT;
+	use->requests = 0;
 	use->reported_us = now_us;
 	report->rate_per_ks = (int64_t)(use->demand * 1000);
 	report->tokens = use->tokens;
@@ -193,7 +203,10 @@
 	return g_strcmp0(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* Names (not owned) of the organisations that have something to report. */
+/*
+ * Returns the sorted names of the organisations that have something to report.
+ * The caller frees the array; the names belong to the limits.
+ */
 GPtrArray *organisation_limits_active(struct organisation_limits *limits)
 {
 	GPtrArray *names = g_ptr_array_new();
@@ -204,27 +217,27 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct organisation_use *use = value;
 
-		if (use->asked || use->tokens || !use->reported_idle)
+		if (use->requests || use->tokens || !use->reported_idle)
 			g_ptr_array_add(names, use->name);
 	}
 	g_ptr_array_sort(names, compare_names);
 	return names;
 }
 
-/* Takes the share that the home has worked out for this node. */
+/* Applies the share that the home has computed for this node. */
 void organisation_limits_take_share(struct organisation_limits *limits,
 				    const char *organisation,
 				    const struct peer_limit *share,
 				    int64_t now_us)
 {
-	struct organisation_use *use = limits_use(limits, organisation);
+	struct organisation_use *use = limits_ensure_use(limits, organisation);
 
 	use->share_rate = (double)MAX(share->rate_per_ks, 0) / 1000;
 	use->share_tokens = MAX(share->tokens, 0);
 	use->share_us = now_us;
 }
 
-static struct node_demand *demands_find(GPtrArray *demands, const char *node)
+static struct node_demand *demands_ensure(GPtrArray *demands, const char *node)
 {
 	struct node_demand *demand;
 
@@ -239,12 +252,12 @@
 	return demand;
 }
 
-static void demands_forget_silent(GPtrArray *demands, int64_t now_us)
+static void demands_remove_expired(GPtrArray *demands, int64_t now_us)
 {
 	for (guint i = demands->len; i > 0; i--) {
 		struct node_demand *demand = g_ptr_array_index(demands, i - 1);
 
-		if (now_us - demand->heard_us > REPORT_LIFE_US)
+		if (now_us - demand->received_us > REPORT_TTL_US)
 			g_ptr_array_remove_index(demands, i - 1);
 	}
 }
@@ -258,45 +271,50 @@
 }
 
 /*
- * Max-min fair: who wants little gets it, the others share the rest alike,
- * and what nobody wants is spread, so that a node can start at once.
+ * Returns the max-min fair share of the node with the given demand: small
+ * demands are granted in full and the others share the rest equally. What
+ * remains above all demands is spread equally, so that a node can admit new
+ * traffic at once. Sorts demands.
  */
-static double divide_fairly(double limit, GArray *wants, double want)
+static double max_min_share(double limit, GArray *demands, double demand)
 {
-	double left = limit;
-	double given = 0;
+	double remaining = limit;
+	double granted = 0;
 	bool found = false;
 
-	g_array_sort(wants, compare_doubles);
-	for (guint i = 0; i < wants->len; i++) {
-		double other = g_array_index(wants, double, i);
-		double fair = left / (wants->len - i);
+	g_array_sort(demands, compare_doubles);
+	for (guint i = 0; i < demands->len; i++) {
+		double other = g_array_index(demands, double, i);
+		double fair = remaining / (demands->len - i);
 		double part = MIN(other, fair);
 
-		left -= part;
-		if (!found && other >= want) {
-			given = part;
+		remaining -= part;
+		if (!found && other >= demand) {
+			granted = part;
 			found = true;
 		}
 	}
-	return given + left / MAX(wants->len, 1);
+	return granted + remaining / MAX(demands->len, 1);
 }
 
-static GArray *demands_wants(const GPtrArray *demands, bool tokens)
+static GArray *demands_copy_values(const GPtrArray *demands, bool tokens)
 {
-	GArray *wants = g_array_new(FALSE, FALSE, sizeof(double));
+	GArray *values = g_array_new(FALSE, FALSE, sizeof(double));
 
 	for (guint i = 0; i < demands->len; i++) {
 		const struct node_demand *demand =
 			g_ptr_array_index(demands, i);
-		double want = tokens ? demand->tokens : demand->rate;
+		double value = tokens ? demand->tokens : demand->rate;
 
-		g_array_append_val(wants, want);
+		g_array_append_val(values, value);
 	}
-	return wants;
+	return values;
 }
 
-/* Takes a node's report and works out that node's share of both limits. */
+/*
+ * Stores a node's report and computes that node's share of both limits from
+ * the reports of all nodes that have not expired.
+ */
 void organisation_limits_divide(struct organisation_limits *limits,
 				const struct config_organisation *organisation,
 				const char *node,
@@ -306,25 +324,26 @@
 	GPtrArray *demands =
 		g_hash_table_lookup(limits->demands, organisation->name);
 	struct node_demand *demand;
-	GArray *wants;
+	GArray *values;
 
 	if (!demands) {
 		demands = g_ptr_array_new_with_free_func(node_demand_destroy);
 		g_hash_table_insert(limits->demands,
 				    g_strdup(organisation->name), demands);
 	}
-	demand = demands_find(demands, node);
+	demand = demands_ensure(demands, node);
 	demand->rate = (double)MAX(report->rate_per_ks, 0) / 1000;
 	demand->tokens = (double)MAX(report->tokens, 0);
-	demand->heard_us = now_us;
-	demands_forget_silent(demands, now_us);
-	wants = demands_wants(demands, false);
+	demand->received_us = now_us;
+	demands_remove_expired(demands, now_us);
+	values = demands_copy_values(demands, false);
 	share->rate_per_ks =
-		(int64_t)(1000 * divide_fairly(organisation->requests_per_s,
-					       wants, demand->rate));
-	g_array_unref(wants);
-	wants = demands_wants(demands, true);
-	share->tokens = (int64_t)divide_fairly(
-		(double)organisation->concurrent_tokens, wants, demand->tokens);
-	g_array_unref(wants);
+		(int64_t)(1000 * max_min_share(organisation->requests_per_s,
+					       values, demand->rate));
+	g_array_unref(values);
+	values = demands_copy_values(demands, true);
+	share->tokens =
+		(int64_t)max_min_share((double)organisation->concurrent_tokens,
+				       values, demand->tokens);
+	g_array_unref(values);
 }
--- a/core/limit/organisation_limits.h
+++ b/core/limit/organisation_limits.h
@@ -12,18 +12,20 @@
 G_BEGIN_DECLS
 
 /*
- * Limits of organisations, shared between nodes without a write per request.
- * Each organisation has a home node. Entry nodes report now and then what is
- * wanted of them; the home divides the limit by that, max-min fair, and each
- * node then admits by its share alone. Without a fresh share a node admits an
- * equal part, so a lost home neither stops an organisation nor frees it.
+ * Request rate and token limits of organisations, enforced by all nodes
+ * together without a write per request. Each organisation has a home node.
+ * Entry nodes periodically report their demand to it; the home divides the
+ * limit max-min fairly by these reports, and each node then admits requests by
+ * its own share alone. A node without a fresh share uses an equal part of the
+ * limit, so that losing the home neither blocks an organisation nor lifts its
+ * limit.
  */
 struct organisation_limits;
 
 struct organisation_limits *organisation_limits_create(void);
 void organisation_limits_destroy(struct organisation_limits *limits);
 
-/* The entry node's side. */
+/* Called on entry nodes. */
 enum refusal
 organisation_limits_admit(struct organisation_limits *limits,
 			  const struct config_organisation *organisation,
@@ -40,7 +42,7 @@
 				    const struct peer_limit *share,
 				    int64_t now_us);
 
-/* The home's side. */
+/* Called on the home node. */
 void organisation_limits_divide(struct organisation_limits *limits,
 				const struct config_organisation *organisation,
 				const char *node,
--- a/core/limit/quarantine.c
+++ b/core/limit/quarantine.c
@@ -8,7 +8,7 @@
 	int64_t until_us;
 };
 
-/* Entries in order of their end, found by fingerprint. */
+/* Entries in order of expiry, indexed by fingerprint. */
 struct entry_table {
 	GHashTable *by_fingerprint; /* fingerprint -> GList of order */
 	GQueue order;		    /* struct entry */
@@ -55,8 +55,8 @@
 }
 
 /*
- * Adds or renews an entry. The oldest goes when the table is full: callers
- * choose what they send, so a table without a bound would be theirs to grow.
+ * Adds or renews an entry and evicts the oldest one if the table is full.
+ * Callers control the fingerprints and could grow an unbounded table at will.
  */
 static void entry_table_put(struct entry_table *table, uint64_t fingerprint,
 			    uint64_t endpoint_hash, int64_t until_us)
@@ -78,7 +78,7 @@
 			    table->order.tail);
 }
 
-/* Ten minutes' memory of crashes, half an hour of refusing. */
+/* Defaults: crashes are remembered for 10 min, fingerprints held for 30 min. */
 void quarantine_options_default(struct quarantine_options *options)
 {
 	options->suspect_us = 600 * G_USEC_PER_SEC;
@@ -86,7 +86,10 @@
 	options->max_entries = 4096;
 }
 
-/* An empty quarantine. The options are copied. */
+/*
+ * Creates an empty quarantine and copies the options. The caller frees it with
+ * quarantine_destroy.
+ */
 struct quarantine *quarantine_create(const struct quarantine_options *options)
 {
 	struct quarantine *quarantine = g_new0(struct quarantine, 1);
@@ -97,7 +100,7 @@
 	return quarantine;
 }
 
-/* Frees it; NULL is allowed. */
+/* Frees the quarantine; NULL is allowed. */
 void quarantine_destroy(struct quarantine *quarantine)
 {
 	if (!quarantine)
@@ -108,10 +111,11 @@
 }
 
 /*
- * Notes that a request was in flight when an endpoint crashed. One crash
- * proves nothing, because all that ran there is reported with it; the second
- * must be another endpoint's, since one that crashes by itself would take its
- * own callers into quarantine.
+ * Records that a request was in flight when an endpoint crashed. Returns true
+ * if this crash puts the fingerprint in quarantine. One crash is not enough,
+ * because every request that ran on the endpoint is recorded with it. The
+ * second crash must be at another endpoint: otherwise an endpoint that crashes
+ * on its own would quarantine its callers.
  */
 bool quarantine_report_crash(struct quarantine *quarantine,
 			     uint64_t fingerprint, const char *endpoint,
@@ -134,9 +138,10 @@
 }
 
 /*
- * Notes that a request was answered whole: it does not crash endpoints. This
- * clears those who only shared an engine with one that does, also twice in a
- * row: a run that was taken over after two crashes and then ended.
+ * Records that a request was answered completely, so it does not crash
+ * endpoints. This clears requests that only shared an engine with one that
+ * does, even those in quarantine: a generation may be continued elsewhere after
+ * a second crash and then complete.
  */
 void quarantine_report_whole(struct quarantine *quarantine,
 			     uint64_t fingerprint)
@@ -145,7 +150,10 @@
 	entry_table_remove(&quarantine->held, fingerprint);
 }
 
-/* Refuses a fingerprint from now on: found here, or told by another node. */
+/*
+ * Puts a fingerprint in quarantine for hold_us, whether it was detected here or
+ * announced by another node.
+ */
 void quarantine_hold(struct quarantine *quarantine, uint64_t fingerprint,
 		     int64_t now_us)
 {
@@ -154,7 +162,7 @@
 			now_us + quarantine->options.hold_us);
 }
 
-/* Time until which it is refused, in us; 0: not in quarantine. */
+/* Returns the time in us until which it is refused; 0: not in quarantine. */
 int64_t quarantine_until_us(const struct quarantine *quarantine,
 			    uint64_t fingerprint, int64_t now_us)
 {
@@ -164,7 +172,10 @@
 	return entry ? entry->until_us : 0;
 }
 
-/* Whether it was in flight at a crash and has not been cleared since. */
+/*
+ * Returns whether the request was in flight at a crash and is neither cleared,
+ * quarantined nor expired since.
+ */
 bool quarantine_is_suspect(const struct quarantine *quarantine,
 			   uint64_t fingerprint, int64_t now_us)
 {
@@ -172,7 +183,7 @@
 	       NULL;
 }
 
-/* Entries kept, for the dump. */
+/* Returns the number of suspects and held entries, for the dump. */
 size_t quarantine_count(const struct quarantine *quarantine)
 {
 	return g_queue_get_length((GQueue *)&quarantine->suspects.order) +
--- a/core/limit/retry_budget.h
+++ b/core/limit/retry_budget.h
@@ -8,15 +8,15 @@
 G_BEGIN_DECLS
 
 /*
- * How often a node may try again: a share of its first attempts, so that
- * retries cannot multiply a load that is already too high, and how long it
- * waits before, drawn at random so that retries do not come in step.
+ * Limits the retries of a node to a share of its first attempts, so that
+ * retries cannot multiply a load that is already too high. Also computes the
+ * delay before a retry, which is random so that retries are not synchronised.
  */
 struct retry_budget_options {
-	int32_t percent; /* retries as a share of first attempts */
-	int32_t burst;	 /* retries saved up at most */
-	int64_t base_us; /* mean wait grows from half of this */
-	int64_t max_us;
+	int32_t percent; /* retries per 100 first attempts */
+	int32_t burst;	 /* maximum of accumulated retries */
+	int64_t base_us; /* bound of the first delay; its mean is half */
+	int64_t max_us;	 /* bound of any delay */
 };
 
 struct retry_budget;
@@ -30,7 +30,7 @@
 bool retry_budget_take(struct retry_budget *budget);
 int64_t retry_budget_delay_us(const struct retry_budget *budget,
 			      int32_t retries, GRand *rand);
-int64_t retry_budget_left(const struct retry_budget *budget);
+int64_t retry_budget_remaining(const struct retry_budget *budget);
 
 G_END_DECLS
 
--- a/core/limit/retry_window.c
+++ b/core/limit/retry_window.c
@@ -1,18 +1,21 @@
 #include "core/limit/retry_window.h"
 
-/* A slot of the window leaves it as a whole. */
+/* Slots of a window. The counts of a slot leave the window together. */
 #define SLOTS 40
 
 struct retry_window {
 	int64_t slot_us;
-	int64_t slot; /* since the clock's zero; the one being counted */
-	int32_t firsts[SLOTS + 1];
+	int64_t slot; /* the current one, counted from the clock's zero */
+	int32_t requests[SLOTS + 1];
 	int32_t retries[SLOTS + 1];
-	int32_t percent;
-	double part;
+	int32_t percent; /* retries per 100 requests */
+	double extra;	 /* retries allowed on top of that */
 };
 
-/* A window in which nothing was sent, and nothing may be sent again yet. */
+/*
+ * Creates a window without requests. Its limits are 0 until they are set, so no
+ * retry is allowed yet. The caller frees it with retry_window_destroy.
+ */
 struct retry_window *retry_window_create(int64_t window_us, int64_t now_us)
 {
 	struct retry_window *window = g_new0(struct retry_window, 1);
@@ -29,17 +32,17 @@
 }
 
 /*
- * percent: retries as a share of first sends; part: so many more, of which a
- * fraction counts together with the share.
+ * Sets the limits. percent is the share of retries per request; extra is a
+ * number of retries on top, whose fraction is added to that of the share.
  */
 void retry_window_set_limits(struct retry_window *window, int32_t percent,
-			     double part)
+			     double extra)
 {
 	window->percent = percent;
-	window->part = part;
+	window->extra = extra;
 }
 
-/* Time goes on; now_us never falls. */
+/* Moves the window to now_us, which must never decrease. */
 void retry_window_step(struct retry_window *window, int64_t now_us)
 {
 	int64_t slot = now_us / window->slot_us;
@@ -48,38 +51,39 @@
 	for (int64_t i = 0; i < passed; i++) {
 		int64_t index = (slot - i) % (SLOTS + 1);
 
-		window->firsts[index] = 0;
+		window->requests[index] = 0;
 		window->retries[index] = 0;
 	}
 	window->slot = MAX(slot, window->slot);
 }
 
-/* Counts the first send of a request, which earns its share of a retry. */
+/* Counts the first send of a request, which adds percent / 100 of a retry. */
 void retry_window_count_first(struct retry_window *window)
 {
-	window->firsts[window->slot % (SLOTS + 1)]++;
+	window->requests[window->slot % (SLOTS + 1)]++;
 }
 
 /*
- * Whole retries left. The oldest slot is partly out of the window: its retries
- * still count and its requests don't, so that no window, wherever it begins,
- * has more than its requests allow.
+ * Returns the number of whole retries that remain; it may be negative. The
+ * oldest slot is partly outside the window: its retries still count and its
+ * requests do not, so that no window, wherever it begins, has more retries than
+ * its requests allow.
  */
 int64_t retry_window_left(const struct retry_window *window)
 {
 	int64_t oldest = (window->slot + 1) % (SLOTS + 1);
-	int64_t firsts = 0, retries = 0;
+	int64_t requests = 0, retries = 0;
 
 	for (int64_t i = 0; i <= SLOTS; i++) {
-		firsts += i == oldest ? 0 : window->firsts[i];
+		requests += i == oldest ? 0 : window->requests[i];
 		retries += window->retries[i];
 	}
-	return (int64_t)(window->part +
-			 (double)(firsts * window->percent) / 100) -
+	return (int64_t)(window->extra +
+			 (double)(requests * window->percent) / 100) -
 	       retries;
 }
 
-/* Takes one retry. False: none is left, and nothing is sent again. */
+/* Takes one retry. Returns false if none remains; nothing may be resent. */
 bool retry_window_take(struct retry_window *window)
 {
 	if (retry_window_left(window) <= 0)
--- a/core/limit/shared_budgets.c
+++ b/core/limit/shared_budgets.c
@@ -1,22 +1,24 @@
 #include "core/limit/shared_budgets.h"
 
 /*
- * Nodes that are reckoned with before they are known: after a start, or cut
- * off, a node knows only itself and would take the part of all.
+ * Number of nodes assumed until more are seen. After a start or in a network
+ * partition, a node knows only itself and would use the parts of all nodes.
  */
-#define LEAST_NODES 6
+#define MIN_NODES 6
 
 /*
- * Of its part of the fixed number, for a process in its first window. The rest
- * is for what the process before it may have sent in the same window: nodes
- * that are all killed and start again would otherwise send twice what all may.
+ * Fraction of a node's part of the extra retries that a process gains during
+ * its first window; after it, the process may use the rest. The rest is
+ * reserved in the first window for the retries of the previous process:
+ * otherwise, if all nodes are killed and restart, a window could have twice the
+ * allowed number of retries.
  */
-#define FIRST_SHARE 0.25
+#define FIRST_WINDOW_SHARE 0.25
 
 struct shared_budgets {
 	struct shared_budgets_options options;
 	GHashTable *windows; /* service to struct retry_window */
-	size_t most_nodes;   /* seen at once */
+	size_t max_nodes;    /* most nodes seen at once */
 	int64_t created_us;
 	int64_t now_us;
 };
@@ -26,7 +28,10 @@
 	retry_window_destroy(data);
 }
 
-/* Budgets of services that are not known yet; options are copied. */
+/*
+ * Creates budgets without services; these are added when first used. The
+ * options are copied. The caller frees the budgets with shared_budgets_destroy.
+ */
 struct shared_budgets *
 shared_budgets_create(const struct shared_budgets_options *options,
 		      int64_t now_us)
@@ -34,7 +39,7 @@
 	struct shared_budgets *budgets = g_new0(struct shared_budgets, 1);
 
 	budgets->options = *options;
-	budgets->most_nodes = LEAST_NODES;
+	budgets->max_nodes = MIN_NODES;
 	budgets->created_us = now_us;
 	budgets->now_us = now_us;
 	budgets->windows = g_hash_table_new_full(g_str_hash, g_str_equal,
@@ -51,67 +56,70 @@
 	g_free(budgets);
 }
 
-/* What this node may send now in a window, of the fixed number of retries. */
-static double part(const struct shared_budgets *budgets)
+/* Returns this node's current part of the extra retries of a window. */
+static double node_extra(const struct shared_budgets *budgets)
 {
 	double all = (double)budgets->options.extra;
 	int64_t age_us = budgets->now_us - budgets->created_us;
 	int64_t window_us = budgets->options.window_us;
-	double share = 1 - FIRST_SHARE;
+	double share = 1 - FIRST_WINDOW_SHARE;
 
 	if (age_us < window_us)
-		share = FIRST_SHARE * (double)age_us / (double)window_us;
-	return share * all / (double)budgets->most_nodes;
+		share = FIRST_WINDOW_SHARE * (double)age_us / (double)window_us;
+	return share * all / (double)budgets->max_nodes;
 }
 
-static void bring_up_to_date(const struct shared_budgets *budgets,
-			     struct retry_window *window)
+static void update_window(const struct shared_budgets *budgets,
+			  struct retry_window *window)
 {
 	retry_window_step(window, budgets->now_us);
 	retry_window_set_limits(window, budgets->options.percent,
-				part(budgets));
+				node_extra(budgets));
 }
 
-static void bring_all_up_to_date(const struct shared_budgets *budgets)
+static void update_all_windows(const struct shared_budgets *budgets)
 {
 	GHashTableIter iter;
 	gpointer window;
 
 	g_hash_table_iter_init(&iter, budgets->windows);
 	while (g_hash_table_iter_next(&iter, NULL, &window))
-		bring_up_to_date(budgets, window);
+		update_window(budgets, window);
 }
 
-/* Takes over other limits; what was used stays used. */
+/* Changes the limits; retries already used in the window still count. */
 void shared_budgets_set_limits(struct shared_budgets *budgets, int32_t percent,
 			       int64_t extra)
 {
 	budgets->options.percent = percent;
 	budgets->options.extra = extra;
-	bring_all_up_to_date(budgets);
+	update_all_windows(budgets);
 }
 
 /*
- * By how many nodes the fixed number is divided: the most that were seen, for
- * nodes cut from one another must not each take the part of all.
+ * The extra retries are divided by the most nodes ever seen at once, because
+ * partitioned nodes must not each use the parts of all nodes.
  */
-static void count_nodes(struct shared_budgets *budgets, size_t nodes)
+static void record_node_count(struct shared_budgets *budgets, size_t nodes)
 {
-	if (nodes <= budgets->most_nodes)
+	if (nodes <= budgets->max_nodes)
 		return;
-	budgets->most_nodes = nodes;
+	budgets->max_nodes = nodes;
 }
 
-/* nodes: that are live now, this one included. now_us never falls. */
+/*
+ * Updates all budgets to now_us, which must never decrease. nodes is the number
+ * of live nodes, including this one.
+ */
 void shared_budgets_step(struct shared_budgets *budgets, size_t nodes,
 			 int64_t now_us)
 {
 	budgets->now_us = now_us;
-	count_nodes(budgets, nodes);
-	bring_all_up_to_date(budgets);
+	record_node_count(budgets, nodes);
+	update_all_windows(budgets);
 }
 
-/* The retries of a service; owned by the budgets. */
+/* Returns the retries of a service, owned by the budgets; adds it if new. */
 struct retry_window *shared_budgets_get(struct shared_budgets *budgets,
 					const char *service)
 {
@@ -122,7 +130,7 @@
 		return window;
 	window = retry_window_create(budgets->options.window_us,
 				     budgets->now_us);
-	bring_up_to_date(budgets, window);
+	update_window(budgets, window);
 	g_hash_table_insert(budgets->windows, g_strdup(service), window);
 	return window;
 }
--- a/core/limit/shared_budgets.h
+++ b/core/limit/shared_budgets.h
@@ -10,14 +10,14 @@
 G_BEGIN_DECLS
 
 /*
- * One node's part of the retries that all nodes together may send to a
- * service: a share of the requests in a window, which each node counts for
- * itself, and a fixed number, of which each node takes an equal part. Nothing
- * is sent between nodes and nothing is written anywhere.
+ * Limits the retries that all nodes together may send to each service: a share
+ * of the requests in a window, which each node counts for itself, and a fixed
+ * number, of which each node uses an equal part. The nodes exchange no messages
+ * for this and write nothing to the store.
  */
 struct shared_budgets_options {
-	int32_t percent; /* retries as a share of first sends */
-	int64_t extra;	 /* and so many more in a window, of all nodes */
+	int32_t percent; /* retries per 100 requests */
+	int64_t extra;	 /* retries on top, per window and for all nodes */
 	int64_t window_us;
 };
 
--- a/tests/organisation_limits_test.cc
+++ b/tests/organisation_limits_test.cc
@@ -28,8 +28,8 @@
 		config_unref(config);
 	}
 
-	/* Sends count requests over a second; how many were admitted. */
-	int ask(int i, int count)
+	/* Sends count requests over a second; returns the number admitted. */
+	int send_requests(int i, int count)
 	{
 		int admitted = 0;
 		int64_t retry_after_us = 0;
@@ -42,6 +42,7 @@
 		return admitted;
 	}
 
+	/* Reports the demand of a node to the home and applies its share. */
 	void report(int i)
 	{
 		struct peer_limit report = {};
@@ -57,25 +58,25 @@
 };
 
 /*
- * All of an organisation's callers use one node. Dividing its limit equally
- * would refuse half of what it may send; dividing by what is wanted does not,
- * and its sum over the nodes stays at the limit.
+ * Nearly all requests of an organisation arrive at one node. Equal shares would
+ * refuse half of what it may send; shares by demand do not, and their sum over
+ * the nodes stays within the limit.
  */
 TEST_F(OrganisationLimits, FollowsWhereTheRequestsCome)
 {
 	atlas->requests_per_s = 100;
 	for (int i = 0; i < 10; i++) {
-		ask(0, 90);
-		ask(1, 2);
+		send_requests(0, 90);
+		send_requests(1, 2);
 		now_us += second_us;
 		report(0);
 		report(1);
 	}
-	ask(0, 400); /* uses up what was saved */
-	ask(1, 2);
+	send_requests(0, 400); /* uses the accumulated credit */
+	send_requests(1, 2);
 	now_us += second_us;
-	int first = ask(0, 400);
-	int second = ask(1, 2);
+	int first = send_requests(0, 400);
+	int second = send_requests(1, 2);
 
 	EXPECT_GE(first, 85);
 	EXPECT_EQ(2, second);
@@ -83,22 +84,22 @@
 }
 
 /*
- * The home of the organisation is gone: its word gets old, and each node
- * falls back to an equal part. The organisation is neither stopped nor freed.
+ * The home of the organisation is lost and its share expires: each node falls
+ * back to an equal part. The organisation is neither blocked nor unlimited.
  */
 TEST_F(OrganisationLimits, FallsBackToAnEqualPart)
 {
 	atlas->requests_per_s = 100;
-	ask(0, 400);
+	send_requests(0, 400);
 	now_us += second_us;
 	report(0);
 	now_us += 60 * second_us;
-	ask(0, 200);
+	send_requests(0, 200);
 	now_us += second_us;
-	EXPECT_NEAR(50, ask(0, 400), 2);
+	EXPECT_NEAR(50, send_requests(0, 400), 2);
 }
 
-/* A refusal says when the next request would be admitted. */
+/* A refusal returns the time after which the next request is admitted. */
 TEST_F(OrganisationLimits, SaysWhenToComeBack)
 {
 	int64_t retry_after_us = 0;
@@ -117,7 +118,7 @@
 					    &retry_after_us));
 }
 
-/* Tokens made count too, and are free again when their request has ended. */
+/* Output tokens count as well and are released when their request ends. */
 TEST_F(OrganisationLimits, CountsTokensHeld)
 {
 	int64_t retry_after_us = 0;
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -21,9 +21,9 @@
 };
 
 /*
- * A request crashes the engine it runs on, and its caller sends it again.
- * After the second engine it is refused with a time to come back, while the
- * request that only shared the first engine and then finished is free.
+ * A request crashes the engine it runs on, and its caller sends it again. After
+ * the second engine it is refused until a given time, while a request that only
+ * shared the first engine and then completed is not refused.
  */
 TEST_F(Quarantine, HoldsWhatWasInFlightAtTwoCrashes)
 {
@@ -39,8 +39,8 @@
 }
 
 /*
- * One engine crashes again and again by itself. Its callers are not to blame,
- * so the same endpoint counts once.
+ * One engine crashes repeatedly on its own. Its callers do not cause the
+ * crashes, so the same endpoint counts once.
  */
 TEST_F(Quarantine, OneCrashingEndpointHoldsNobody)
 {
@@ -56,7 +56,7 @@
 					     options.suspect_us + 1));
 }
 
-/* A caller that sends ever new crashing bodies must not grow the table. */
+/* A caller that keeps sending new crashing bodies must not grow the table. */
 TEST_F(Quarantine, IsBounded)
 {
 	for (uint64_t i = 0; i < 1000; i++) {
@@ -69,8 +69,8 @@
 }
 
 /*
- * A report is in flight at crashes of two engines, goes on at a third and ends
- * whole there. Its caller asks for it again: it must not be refused.
+ * A request is in flight at crashes of two engines, continues at a third and
+ * completes there. When its caller sends it again, it must not be refused.
  */
 TEST_F(Quarantine, ReleasesWhatEndedWholeAfterTwoCrashes)
 {
--- a/tests/retry_budget_test.cc
+++ b/tests/retry_budget_test.cc
@@ -3,9 +3,9 @@
 #include <gtest/gtest.h>
 
 /*
- * Every attempt fails and the node retries all it may. A caller sees refusals
- * soon; the endpoints that are left see no more than a tenth on top of the
- * calls, since each first attempt earns a tenth of a retry.
+ * Every attempt fails and the node makes every retry that it may. Callers are
+ * refused early; the remaining endpoints receive at most a tenth more requests
+ * than there are calls, since each first attempt adds a tenth of a retry.
  */
 TEST(RetryBudget, BoundsAttemptsWhenAllFail)
 {
--- a/tests/retry_window_test.cc
+++ b/tests/retry_window_test.cc
@@ -8,7 +8,7 @@
 constexpr int64_t kSecond = 1000000;
 constexpr int64_t kWindow = 10 * kSecond;
 
-void CountFirsts(struct retry_window *window, int count)
+void CountRequests(struct retry_window *window, int count)
 {
 	for (int i = 0; i < count; i++)
 		retry_window_count_first(window);
@@ -26,11 +26,11 @@
 } // namespace
 
 /*
- * Load: one of sixty nodes has sent ten generations in ten seconds, and four of
- * them run on engines that leave now. All four move at once: what the requests
- * of the window allow, and this node's part, is there in one moment. Given out
- * one by one as requests come, three of four reports would be cut off whose
- * copies stood ready.
+ * One of sixty nodes has sent ten generations in ten seconds, and four of them
+ * run on engines that leave now. All four must move at once, so the retries for
+ * the requests of the window and the node's fixed part must be available
+ * together. If retries became available one by one with new requests, three of
+ * the four generations would be cut off although their copies exist.
  */
 TEST(RetryWindow, AllOfAWindowMayBeUsedInOneMoment)
 {
@@ -39,7 +39,7 @@
 	retry_window_set_limits(window, 20, 2.1);
 	for (int i = 0; i < 10; i++) {
 		retry_window_step(window, i * kSecond);
-		CountFirsts(window, 1);
+		CountRequests(window, 1);
 	}
 	EXPECT_EQ(4, TakeAll(window));
 	retry_window_step(window, 9 * kSecond + kWindow / 2);
@@ -47,7 +47,7 @@
 	retry_window_destroy(window);
 }
 
-/* What was sent again comes back only when the whole window has passed. */
+/* A used retry becomes available only after the whole window has passed. */
 TEST(RetryWindow, NoWindowHasMoreThanItsOwn)
 {
 	struct retry_window *window = retry_window_create(kWindow, 0);
@@ -63,15 +63,15 @@
 }
 
 /*
- * A node is suspended for a minute: what it counted before is long out of the
- * window, and the requests of then allow no retries now.
+ * A node is suspended for a minute: its earlier counts are outside the window,
+ * and those requests allow no retries now.
  */
 TEST(RetryWindow, ForgetsWhatIsLongAgo)
 {
 	struct retry_window *window = retry_window_create(kWindow, 0);
 
 	retry_window_set_limits(window, 20, 0);
-	CountFirsts(window, 100);
+	CountRequests(window, 100);
 	EXPECT_EQ(20, retry_window_left(window));
 	retry_window_step(window, 60 * kSecond);
 	EXPECT_EQ(0, retry_window_left(window));
@@ -79,8 +79,8 @@
 }
 
 /*
- * A change of settings comes while retries are in use. What was used stays
- * used: a file that changes again and again must not multiply the retries.
+ * The settings change while retries are in use. Used retries still count:
+ * repeated changes of the settings file must not multiply the retries.
  */
 TEST(RetryWindow, KeepsWhatWasUsedUnderOtherLimits)
 {
--- a/tests/shared_budgets_test.cc
+++ b/tests/shared_budgets_test.cc
@@ -14,17 +14,18 @@
 constexpr int64_t kWindow = 10 * kSecond;
 
 /*
- * Nodes that use up all retries they get, and a window that slides over what
- * reaches the service: the most in any ten seconds is what the service sees.
+ * Nodes that use every retry they get, and a window that slides over the
+ * requests and retries that reach the service, to find the most extra retries
+ * in any ten seconds.
  */
 class SharedBudgets : public testing::Test
 {
       protected:
 	std::vector<struct shared_budgets *> nodes;
 	int64_t now_us = 0;
-	std::deque<std::pair<int64_t, int64_t>> firsts; /* at, how many */
+	std::deque<std::pair<int64_t, int64_t>> firsts; /* time, count */
 	std::deque<std::pair<int64_t, int64_t>> retries;
-	int64_t worst = 0; /* retries above their share, in a window */
+	int64_t max_extra = 0; /* retries above the share, in a window */
 
 	~SharedBudgets() override
 	{
@@ -32,36 +33,41 @@
 			shared_budgets_destroy(node);
 	}
 
-	struct shared_budgets *Start()
+	struct shared_budgets *CreateNode()
 	{
 		struct shared_budgets_options options = {20, 54, kWindow};
 
 		return shared_budgets_create(&options, now_us);
 	}
 
-	void Create(size_t count)
+	void CreateNodes(size_t count)
 	{
 		for (size_t i = 0; i < count; i++)
-			nodes.push_back(Start());
+			nodes.push_back(CreateNode());
 	}
 
-	static int64_t Sum(const std::deque<std::pair<int64_t, int64_t>> &list)
+	static int64_t
+	Sum(const std::deque<std::pair<int64_t, int64_t>> &counts)
 	{
 		int64_t sum = 0;
 
-		for (auto &[at, count] : list)
+		for (auto &[at, count] : counts)
 			sum += count;
 		return sum;
 	}
 
-	void Slide(std::deque<std::pair<int64_t, int64_t>> *list)
+	void DropExpired(std::deque<std::pair<int64_t, int64_t>> *counts)
 	{
-		while (!list->empty() &&
-		       list->front().first <= now_us - kWindow)
-			list->pop_front();
+		while (!counts->empty() &&
+		       counts->front().first <= now_us - kWindow)
+			counts->pop_front();
 	}
 
-	void Rest(int64_t seconds, size_t known)
+	/*
+	 * Time passes without requests or retries. known: the number of nodes
+	 * that each node sees.
+	 */
+	void StepIdle(int64_t seconds, size_t known)
 	{
 		for (int64_t end = now_us + seconds * kSecond; now_us < end;
 		     now_us += kTick) {
@@ -70,8 +76,9 @@
 		}
 	}
 
-	/* known: how many nodes each of them sees. */
-	void Run(int64_t seconds, int64_t requests_per_tick, size_t known)
+	/* Sends requests for a time and uses every available retry. */
+	void UseRetries(int64_t seconds, int64_t requests_per_tick,
+			size_t known)
 	{
 		for (int64_t end = now_us + seconds * kSecond; now_us < end;
 		     now_us += kTick) {
@@ -91,85 +98,86 @@
 					    requests_per_tick *
 						    (int64_t)nodes.size());
 			retries.emplace_back(now_us, sent);
-			Slide(&firsts);
-			Slide(&retries);
-			worst = std::max(worst, Sum(retries) - Sum(firsts) / 5);
+			DropExpired(&firsts);
+			DropExpired(&retries);
+			max_extra = std::max(max_extra,
+					     Sum(retries) - Sum(firsts) / 5);
 		}
 	}
 };
 
 } // namespace
 
-/* All retries that the nodes have are used at once, and all that come back. */
+/* The nodes use all retries at once, and again as they become available. */
 TEST_F(SharedBudgets, TogetherStayWithinTheFixedNumber)
 {
-	Create(7);
-	Rest(30, 7);
-	Run(60, 1, 7);
-	EXPECT_LE(worst, 54);
-	EXPECT_GE(worst, 30); /* and are not left unused */
+	CreateNodes(7);
+	StepIdle(30, 7);
+	UseRetries(60, 1, 7);
+	EXPECT_LE(max_extra, 54);
+	EXPECT_GE(max_extra, 30); /* the retries do get used */
 }
 
 /*
- * Six nodes that know nobody, as after a start or in a cut from the beginning,
- * have saved up all they may: each takes a sixth, not all.
+ * Six nodes that know no others, as after a start or in a partition from the
+ * beginning, have their full part available: each uses a sixth, not all.
  */
 TEST_F(SharedBudgets, StayWithinTheFixedNumberBeforeNodesKnowEachOther)
 {
-	Create(6);
-	Rest(30, 1);
-	Run(30, 0, 1);
-	EXPECT_LE(worst, 54);
-	EXPECT_GE(worst, 30);
+	CreateNodes(6);
+	StepIdle(30, 1);
+	UseRetries(30, 0, 1);
+	EXPECT_LE(max_extra, 54);
+	EXPECT_GE(max_extra, 30);
 }
 
-/* Cut from one another, the nodes go on with the parts that they had. */
+/* Partitioned nodes keep the parts that they had before. */
 TEST_F(SharedBudgets, ACutDoesNotMultiplyThem)
 {
-	Create(9);
-	Rest(30, 9);
-	Run(30, 0, 1);
-	EXPECT_LE(worst, 54);
-	EXPECT_GE(worst, 30);
+	CreateNodes(9);
+	StepIdle(30, 9);
+	UseRetries(30, 0, 1);
+	EXPECT_LE(max_extra, 54);
+	EXPECT_GE(max_extra, 30);
 }
 
 /*
- * All nodes are killed with their retries used up, and start again: what the
- * service sees in a window must not be two full stocks.
+ * All nodes are killed with their retries used up and restart: the service must
+ * not receive twice the allowed number of retries in a window.
  */
 TEST_F(SharedBudgets, RestartsDoNotMultiplyThem)
 {
-	Create(7);
-	Run(20, 0, 7);
+	CreateNodes(7);
+	UseRetries(20, 0, 7);
 	for (int i = 0; i < 3; i++) {
 		for (struct shared_budgets *node : nodes)
 			shared_budgets_destroy(node);
 		nodes.clear();
-		Create(7);
-		Run(3, 0, 7);
+		CreateNodes(7);
+		UseRetries(3, 0, 7);
 	}
-	EXPECT_LE(worst, 54);
+	EXPECT_LE(max_extra, 54);
 }
 
-/* A node that has run for a while without retries has its part saved up. */
+/* A node that has run for a while without retries has its part available. */
 TEST_F(SharedBudgets, SaveUpWhileNoneAreUsed)
 {
-	Create(1);
-	Rest(30, 6);
+	CreateNodes(1);
+	StepIdle(30, 6);
 	EXPECT_EQ(6, retry_window_left(shared_budgets_get(nodes[0], "portal")));
 }
 
 /*
- * Sixty nodes, an engine of each of some leaves: a node with two generations
+ * In a deployment of sixty nodes, engines leave and a node with two generations
  * there needs two retries at once. Its part of the fixed number is less than
- * two, and with what its requests allow it has them.
+ * two, but is enough together with the retries that its requests allow.
  */
 TEST_F(SharedBudgets, OfManyNodesEachCanMoveItsOwn)
 {
 	struct retry_window *budget;
 
-	Create(1);
-	Rest(30, 61);
+	CreateNodes(1);
+	StepIdle(30, 61);
 	shared_budgets_set_limits(nodes[0], 20, 162);
 	budget = shared_budgets_get(nodes[0], "engines");
 	for (int i = 0; i < 10; i++)
@@ -178,13 +186,13 @@
 	EXPECT_TRUE(retry_window_take(budget));
 }
 
-/* Services do not take from each other. */
+/* Services do not share retries. */
 TEST_F(SharedBudgets, EachServiceHasItsOwn)
 {
 	struct retry_window *one, *other;
 
-	Create(1);
-	Run(10, 0, 1);
+	CreateNodes(1);
+	UseRetries(10, 0, 1);
 	one = shared_budgets_get(nodes[0], "portal");
 	other = shared_budgets_get(nodes[0], "engines");
 	while (retry_window_take(one))
@@ -193,13 +201,13 @@
 	EXPECT_GT(retry_window_left(other), 0);
 }
 
-/* A file of settings that changes again and again hands out no retries. */
+/* Repeated changes of the settings file do not add retries. */
 TEST_F(SharedBudgets, OtherLimitsKeepWhatWasUsed)
 {
 	struct retry_window *budget;
 
-	Create(1);
-	Rest(30, 1);
+	CreateNodes(1);
+	StepIdle(30, 1);
 	budget = shared_budgets_get(nodes[0], "portal");
 	EXPECT_GT(retry_window_left(budget), 0);
 	while (retry_window_take(budget))
