--- a/core/plan/plan_describe.c
+++ b/core/plan/plan_describe.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-/* Appends a line of text. */
+/* Appends a formatted line, which the array owns, to lines. */
 void plan_add_line(GPtrArray *lines, const char *format, ...)
 {
 	va_list args;
@@ -15,12 +15,15 @@
 	va_end(args);
 }
 
-static const char *or_none(const char *text)
+static const char *text_or_none(const char *text)
 {
 	return *text ? text : "none";
 }
 
-/* Collects a change of one item, as "capacity_tokens 0 -> 60000, ...". */
+/*
+ * Appends "name before -> after" to a comma-separated list of changes, such as
+ * "capacity_tokens 0 -> 60000, slots 4 -> 8". Equal values add nothing.
+ */
 void plan_add_int_change(GString *changes, const char *name, int64_t before,
 			 int64_t after)
 {
@@ -31,17 +34,20 @@
 			changes->len ? ", " : "", name, before, after);
 }
 
-/* The same of a text. */
+/*
+ * Appends a changed text like plan_add_int_change(); an empty text is shown as
+ * "none".
+ */
 void plan_add_string_change(GString *changes, const char *name,
 			    const char *before, const char *after)
 {
 	if (strcmp(before, after) != 0)
-		g_string_append_printf(changes, "%s%s %s -> %s",
-				       changes->len ? ", " : "", name,
-				       or_none(before), or_none(after));
+		g_string_append_printf(
+			changes, "%s%s %s -> %s", changes->len ? ", " : "",
+			name, text_or_none(before), text_or_none(after));
 }
 
-/* The same of yes or no. */
+/* Appends a changed flag like plan_add_int_change(), as "yes" or "no". */
 void plan_add_bool_change(GString *changes, const char *name, bool before,
 			  bool after)
 {
@@ -49,9 +55,9 @@
 			       after ? "yes" : "no");
 }
 
-static void compare_endpoint(struct plan *plan, const char *service,
-			     const struct config_endpoint *before,
-			     const struct config_endpoint *after)
+static void describe_changed_endpoint(struct plan *plan, const char *service,
+				      const struct config_endpoint *before,
+				      const struct config_endpoint *after)
 {
 	GString *changes = g_string_new(NULL);
 
@@ -72,18 +78,21 @@
 	g_string_free(changes, TRUE);
 }
 
-static void add_endpoint_line(struct plan *plan, const char *service,
-			      const struct config_endpoint *endpoint)
+static void describe_new_endpoint(struct plan *plan, const char *service,
+				  const struct config_endpoint *endpoint)
 {
 	plan_add_line(plan->differences,
 		      "add endpoint %s to %s: failure_domain %s, region %s%s",
 		      endpoint->address, service,
-		      or_none(endpoint->failure_domain),
-		      or_none(endpoint->region),
+		      text_or_none(endpoint->failure_domain),
+		      text_or_none(endpoint->region),
 		      endpoint->leaving ? ", leaving" : "");
 }
 
-/* Endpoints by address; a service may have thousands of them. */
+/*
+ * Maps addresses to the endpoints of a service. A hash table, as a service may
+ * have thousands of endpoints.
+ */
 static GHashTable *index_endpoints(const struct config_service *service)
 {
 	GHashTable *index = g_hash_table_new(g_str_hash, g_str_equal);
@@ -97,9 +106,9 @@
 	return index;
 }
 
-static void compare_service(struct plan *plan,
-			    const struct config_service *before,
-			    const struct config_service *after)
+static void describe_service_settings(struct plan *plan,
+				      const struct config_service *before,
+				      const struct config_service *after)
 {
 	const struct engine_ability *old = &before->engine;
 	const struct engine_ability *engine = &after->engine;
@@ -126,14 +135,14 @@
 	g_string_free(changes, TRUE);
 }
 
-static void compare_services(struct plan *plan,
-			     const struct config_service *before,
-			     const struct config_service *after)
+static void describe_changed_service(struct plan *plan,
+				     const struct config_service *before,
+				     const struct config_service *after)
 {
 	GHashTable *old_index = index_endpoints(before);
 	GHashTable *index = index_endpoints(after);
 
-	compare_service(plan, before, after);
+	describe_service_settings(plan, before, after);
 	for (guint i = 0; i < after->endpoints->len; i++) {
 		const struct config_endpoint *endpoint =
 			g_ptr_array_index(after->endpoints, i);
@@ -141,9 +150,10 @@
 			g_hash_table_lookup(old_index, endpoint->address);
 
 		if (old)
-			compare_endpoint(plan, after->name, old, endpoint);
+			describe_changed_endpoint(plan, after->name, old,
+						  endpoint);
 		else
-			add_endpoint_line(plan, after->name, endpoint);
+			describe_new_endpoint(plan, after->name, endpoint);
 	}
 	for (guint i = 0; i < before->endpoints->len; i++) {
 		const struct config_endpoint *endpoint =
@@ -158,7 +168,7 @@
 	g_hash_table_unref(index);
 }
 
-static bool keys_are_equal(const GPtrArray *a, const GPtrArray *b)
+static bool key_digests_are_equal(const GPtrArray *a, const GPtrArray *b)
 {
 	if (a->len != b->len)
 		return false;
@@ -170,9 +180,10 @@
 	return true;
 }
 
-static void compare_organisation(struct plan *plan,
-				 const struct config_organisation *before,
-				 const struct config_organisation *after)
+static void
+describe_changed_organisation(struct plan *plan,
+			      const struct config_organisation *before,
+			      const struct config_organisation *after)
 {
 	GString *changes = g_string_new(NULL);
 
@@ -188,7 +199,7 @@
 			    after->concurrent_tokens);
 	plan_add_int_change(changes, "route_priority", before->route_priority,
 			    after->route_priority);
-	if (!keys_are_equal(before->more_keys, after->more_keys))
+	if (!key_digests_are_equal(before->more_keys, after->more_keys))
 		g_string_append_printf(changes, "%smore keys replaced",
 				       changes->len ? ", " : "");
 	if (changes->len)
@@ -197,8 +208,7 @@
 	g_string_free(changes, TRUE);
 }
 
-static void add_service_differences(struct plan *plan,
-				    const struct config *base)
+static void describe_services(struct plan *plan, const struct config *base)
 {
 	const GPtrArray *services = plan->result->services;
 
@@ -209,7 +219,7 @@
 			config_find_service(base, service->name);
 
 		if (before) {
-			compare_services(plan, before, service);
+			describe_changed_service(plan, before, service);
 			continue;
 		}
 		plan_add_line(plan->differences,
@@ -217,7 +227,7 @@
 			      service_kind_name(service->kind),
 			      service->endpoints->len);
 		for (guint j = 0; j < service->endpoints->len; j++)
-			add_endpoint_line(
+			describe_new_endpoint(
 				plan, service->name,
 				g_ptr_array_index(service->endpoints, j));
 	}
@@ -232,8 +242,7 @@
 	}
 }
 
-static void add_organisation_differences(struct plan *plan,
-					 const struct config *base)
+static void describe_organisations(struct plan *plan, const struct config *base)
 {
 	const GPtrArray *organisations = plan->result->organisations;
 
@@ -244,7 +253,8 @@
 			config_find_organisation(base, organisation->name);
 
 		if (before)
-			compare_organisation(plan, before, organisation);
+			describe_changed_organisation(plan, before,
+						      organisation);
 		else
 			plan_add_line(
 				plan->differences,
@@ -267,8 +277,12 @@
 	}
 }
 
-/* How many endpoints of each failure domain take new work. */
-static GHashTable *count_domains(const struct config_service *service)
+/*
+ * Maps each failure domain to the number of its endpoints that take new
+ * requests, which are those that are not leaving. NULL gives an empty table.
+ */
+static GHashTable *
+count_endpoints_by_domain(const struct config_service *service)
 {
 	GHashTable *counts = g_hash_table_new(g_str_hash, g_str_equal);
 
@@ -303,9 +317,9 @@
 }
 
 static const struct plan_capacity *
-add_capacity(struct plan *plan, const char *name,
-	     const struct config_service *before,
-	     const struct config_service *after)
+add_capacity_change(struct plan *plan, const char *name,
+		    const struct config_service *before,
+		    const struct config_service *after)
 {
 	struct plan_capacity *capacity = g_new0(struct plan_capacity, 1);
 
@@ -318,8 +332,8 @@
 	return capacity;
 }
 
-static void warn_of_emptied_domains(struct plan *plan, const char *name,
-				    GHashTable *before, GHashTable *after)
+static void warn_about_emptied_domains(struct plan *plan, const char *name,
+				       GHashTable *before, GHashTable *after)
 {
 	GList *domains = g_list_sort(g_hash_table_get_keys(before),
 				     (GCompareFunc)strcmp);
@@ -330,19 +344,19 @@
 				plan->warnings,
 				"failure domain %s has no endpoint of service "
 				"%s left",
-				or_none(l->data), name);
+				text_or_none(l->data), name);
 	}
 	g_list_free(domains);
 }
 
-static void warn_of_service(struct plan *plan, const char *name,
-			    const struct config_service *before,
-			    const struct config_service *after)
+static void warn_about_service(struct plan *plan, const char *name,
+			       const struct config_service *before,
+			       const struct config_service *after)
 {
 	const struct plan_capacity *capacity =
-		add_capacity(plan, name, before, after);
-	GHashTable *old_domains = count_domains(before);
-	GHashTable *domains = count_domains(after);
+		add_capacity_change(plan, name, before, after);
+	GHashTable *old_domains = count_endpoints_by_domain(before);
+	GHashTable *domains = count_endpoints_by_domain(after);
 
 	if (!after)
 		plan_add_line(plan->warnings,
@@ -358,7 +372,7 @@
 			"service %s has every endpoint in one failure domain",
 			name);
 	if (capacity->endpoints_after > 0)
-		warn_of_emptied_domains(plan, name, old_domains, domains);
+		warn_about_emptied_domains(plan, name, old_domains, domains);
 	if (capacity->tokens_after < capacity->tokens_before)
 		plan_add_line(plan->warnings,
 			      "service %s loses %" G_GINT64_FORMAT
@@ -370,16 +384,16 @@
 	g_hash_table_unref(domains);
 }
 
-/* A limit of 0 is none, so a first limit is a fall as well. */
-static bool limit_falls(int64_t before, int64_t after)
+/* A limit of 0 means no limit, so setting a first limit lowers it as well. */
+static bool limit_is_lowered(int64_t before, int64_t after)
 {
 	return after > 0 && (before == 0 || after < before);
 }
 
-static void warn_of_limit(struct plan *plan, const char *organisation,
-			  const char *limit, int64_t before, int64_t after)
+static void warn_about_limit(struct plan *plan, const char *organisation,
+			     const char *limit, int64_t before, int64_t after)
 {
-	if (!limit_falls(before, after))
+	if (!limit_is_lowered(before, after))
 		return;
 	if (before == 0)
 		plan_add_line(plan->warnings,
@@ -393,8 +407,8 @@
 			      organisation, limit, before, after);
 }
 
-static void warn_of_organisation(struct plan *plan,
-				 const struct config_organisation *before)
+static void warn_about_organisation(struct plan *plan,
+				    const struct config_organisation *before)
 {
 	const struct config_organisation *after =
 		config_find_organisation(plan->result, before->name);
@@ -406,12 +420,12 @@
 			before->name);
 		return;
 	}
-	warn_of_limit(plan, before->name, "requests_per_s",
-		      before->requests_per_s, after->requests_per_s);
-	warn_of_limit(plan, before->name, "concurrent_tokens",
-		      before->concurrent_tokens, after->concurrent_tokens);
+	warn_about_limit(plan, before->name, "requests_per_s",
+			 before->requests_per_s, after->requests_per_s);
+	warn_about_limit(plan, before->name, "concurrent_tokens",
+			 before->concurrent_tokens, after->concurrent_tokens);
 	if (strcmp(before->key_sha256, after->key_sha256) != 0 ||
-	    !keys_are_equal(before->more_keys, after->more_keys))
+	    !key_digests_are_equal(before->more_keys, after->more_keys))
 		plan_add_line(plan->warnings,
 			      "organisation %s: requests with its old key are "
 			      "refused",
@@ -424,7 +438,7 @@
 		const struct config_service *service =
 			g_ptr_array_index(base->services, i);
 
-		warn_of_service(
+		warn_about_service(
 			plan, service->name, service,
 			config_find_service(plan->result, service->name));
 	}
@@ -433,23 +447,23 @@
 			g_ptr_array_index(plan->result->services, i);
 
 		if (!config_find_service(base, service->name))
-			warn_of_service(plan, service->name, NULL, service);
+			warn_about_service(plan, service->name, NULL, service);
 	}
 	for (guint i = 0; i < base->organisations->len; i++)
-		warn_of_organisation(plan,
-				     g_ptr_array_index(base->organisations, i));
+		warn_about_organisation(
+			plan, g_ptr_array_index(base->organisations, i));
 	if (plan->differences->len == 0)
 		plan_add_line(plan->warnings, "nothing changes");
 }
 
 /*
- * Fills the differences, warnings and capacities of a plan, whose result is
- * complete, against the configuration it was made on.
+ * Fills in the differences, warnings and capacities of a plan. Its result must
+ * be complete; base is the configuration that the plan was made on.
  */
 void plan_describe(struct plan *plan, const struct config *base)
 {
-	add_service_differences(plan, base);
-	add_organisation_differences(plan, base);
+	describe_services(plan, base);
+	describe_organisations(plan, base);
 	plan_describe_rollouts(plan, base);
 	plan_describe_routes(plan, base);
 	add_warnings(plan, base);
--- a/core/plan/plan_describe.h
+++ b/core/plan/plan_describe.h
@@ -5,7 +5,10 @@
 
 G_BEGIN_DECLS
 
-/* What a plan changes and what that would break, in lines for operators. */
+/*
+ * Describes in lines of text for operators what a plan changes, and which
+ * requests and how much capacity are lost by it.
+ */
 void plan_add_line(GPtrArray *lines, const char *format, ...)
 	G_GNUC_PRINTF(2, 3);
 void plan_add_int_change(GString *changes, const char *name, int64_t before,
--- a/core/plan/plan_entry.c
+++ b/core/plan/plan_entry.c
@@ -4,13 +4,16 @@
 #include "core/base/counters.h"
 
 enum {
-	FIRST_RESEND_US = 200 * 1000,
-	LAST_RESEND_US = 2 * G_USEC_PER_SEC,
-	MAX_RESENDS = 8,
-	MAX_WAITING = 16
+	FIRST_RESEND_DELAY_US = 200 * 1000,
+	MAX_RESEND_DELAY_US = 2 * G_USEC_PER_SEC,
+	MAX_BACKOFF_STEPS = 8,
+	MAX_WAITING_CALLS = 16
 };
 
-/* An entry that owns the plan; options and random must outlive it. */
+/*
+ * Creates an entry for an unconfirmed plan and takes ownership of the plan. The
+ * options and random must outlive the entry.
+ */
 struct plan_entry *plan_entry_create(struct plan *plan,
 				     const struct plan_book_options *options,
 				     GRand *random)
@@ -20,8 +23,8 @@
 	entry->plan = plan;
 	entry->options = options;
 	entry->random = random;
-	entry->waiting = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	entry->resend_us = INT64_MAX;
+	entry->waiting_calls = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	entry->next_write_us = INT64_MAX;
 	entry->deadline_us = INT64_MAX;
 	return entry;
 }
@@ -32,7 +35,7 @@
 	if (!entry)
 		return;
 	plan_destroy(entry->plan);
-	g_array_unref(entry->waiting);
+	g_array_unref(entry->waiting_calls);
 	g_free(entry);
 }
 
@@ -42,7 +45,7 @@
 	case PLAN_TOOK_EFFECT:
 		return PLAN_EFFECT_YES;
 	case PLAN_REJECTED:
-	case PLAN_OPEN:
+	case PLAN_UNCONFIRMED:
 		return PLAN_EFFECT_NO;
 	case PLAN_CONFIRMING:
 	case PLAN_IN_DOUBT:
@@ -65,20 +68,25 @@
 
 	if (code == PLAN_ANSWER_UNREACHABLE || code == PLAN_ANSWER_IN_DOUBT ||
 	    code == PLAN_ANSWER_BUSY)
-		answer.retry_after_us = LAST_RESEND_US;
+		answer.retry_after_us = MAX_RESEND_DELAY_US;
 	plan_answer_send(&answer, call, actions);
 }
 
-/* Answers all who wait for a plan; its state says whether it took effect. */
-static void answer_waiting(struct plan_entry *entry, enum plan_answer_code code,
-			   struct action_list *actions)
+/*
+ * Answers and removes all waiting calls. The state of the entry, which must be
+ * set before, tells them whether the plan took effect.
+ */
+static void answer_waiting_calls(struct plan_entry *entry,
+				 enum plan_answer_code code,
+				 struct action_list *actions)
 {
-	for (guint i = 0; i < entry->waiting->len; i++)
-		answer_call(entry, g_array_index(entry->waiting, uint64_t, i),
+	for (guint i = 0; i < entry->waiting_calls->len; i++)
+		answer_call(entry,
+			    g_array_index(entry->waiting_calls, uint64_t, i),
 			    code, actions);
-	g_array_set_size(entry->waiting, 0);
+	g_array_set_size(entry->waiting_calls, 0);
 	entry->deadline_us = INT64_MAX;
-	entry->resend_us = INT64_MAX;
+	entry->next_write_us = INT64_MAX;
 	action_list_log(actions,
 			entry->state == PLAN_TOOK_EFFECT ? LOG_LEVEL_INFO
 							 : LOG_LEVEL_WARN,
@@ -89,26 +97,30 @@
 			plan_answer_code_name(code), NULL);
 }
 
-static void settle_yes(struct plan_entry *entry, int64_t revision,
-		       struct action_list *actions)
+static void record_applied(struct plan_entry *entry, int64_t revision,
+			   struct action_list *actions)
 {
 	entry->state = PLAN_TOOK_EFFECT;
 	entry->revision = revision;
-	answer_waiting(entry, PLAN_ANSWER_DONE, actions);
+	answer_waiting_calls(entry, PLAN_ANSWER_DONE, actions);
 }
 
-static void settle_no(struct plan_entry *entry, int64_t current_revision,
-		      struct action_list *actions)
+static void record_rejected(struct plan_entry *entry, int64_t current_revision,
+			    struct action_list *actions)
 {
 	entry->state = PLAN_REJECTED;
 	entry->current_revision = current_revision;
-	answer_waiting(entry, PLAN_ANSWER_CONFLICT, actions);
+	answer_waiting_calls(entry, PLAN_ANSWER_CONFLICT, actions);
 }
 
-/* Settles a plan by a configuration, if that can tell. */
-static bool settle_by_config(struct plan_entry *entry,
-			     const struct config *config,
-			     struct action_list *actions)
+/*
+ * Looks the plan up in a configuration, which may be NULL, and answers the
+ * waiting calls if that shows whether the plan took effect. Returns whether it
+ * does.
+ */
+static bool resolve_from_config(struct plan_entry *entry,
+				const struct config *config,
+				struct action_list *actions)
 {
 	int64_t revision = 0;
 
@@ -117,10 +129,10 @@
 	switch (config_find_plan(config, entry->plan->id,
 				 entry->plan->base_revision, &revision)) {
 	case PLAN_EFFECT_YES:
-		settle_yes(entry, revision, actions);
+		record_applied(entry, revision, actions);
 		return true;
 	case PLAN_EFFECT_NO:
-		settle_no(entry, config->revision, actions);
+		record_rejected(entry, config->revision, actions);
 		return true;
 	case PLAN_EFFECT_UNKNOWN:
 		break;
@@ -133,7 +145,7 @@
 	struct action *action = action_list_add(actions, ACTION_KV);
 
 	entry->kv_id = (*entry->options->next_kv_id)++;
-	entry->resend_us = INT64_MAX;
+	entry->next_write_us = INT64_MAX;
 	action->kv.id = entry->kv_id;
 	action->kv.op = KV_CAS;
 	action->kv.key = g_strdup(PLAN_BOOK_CONFIG_KEY);
@@ -148,9 +160,9 @@
 			     int64_t now_us, struct action_list *actions)
 {
 	entry->state = PLAN_CONFIRMING;
-	entry->resends = 0;
+	entry->backoff_steps = 0;
 	entry->deadline_us = now_us + entry->options->settle_us;
-	g_array_append_val(entry->waiting, call);
+	g_array_append_val(entry->waiting_calls, call);
 	if (!entry->kv_id)
 		send_write(entry, actions);
 }
@@ -158,25 +170,26 @@
 static void join_confirming(struct plan_entry *entry, uint64_t call,
 			    int64_t now_us, struct action_list *actions)
 {
-	if (entry->waiting->len >= MAX_WAITING)
+	if (entry->waiting_calls->len >= MAX_WAITING_CALLS)
 		answer_call(entry, call, PLAN_ANSWER_BUSY, actions);
-	else if (entry->waiting->len == 0)
+	else if (entry->waiting_calls->len == 0)
 		start_confirming(entry, call, now_us, actions);
 	else
-		g_array_append_val(entry->waiting, call);
+		g_array_append_val(entry->waiting_calls, call);
 }
 
 /*
- * An open plan is confirmed once: signed with who confirms it, then written.
- * One whose base has passed is refused without a write, and settled plans
- * answer the same for ever.
+ * Signs an unconfirmed plan with the operator's name and writes it, or refuses
+ * it as stale without a write if it is older than keep_us. A plan in doubt is
+ * written again as it was signed. A plan that took effect or was rejected
+ * always gets the same answer.
  */
 static void confirm_entry(struct plan_entry *entry, uint64_t call,
 			  const char *operator_name, int64_t now_us,
 			  struct action_list *actions)
 {
 	switch (entry->state) {
-	case PLAN_OPEN:
+	case PLAN_UNCONFIRMED:
 		if (now_us - entry->plan->created_us >
 		    entry->options->keep_us) {
 			answer_call(entry, call, PLAN_ANSWER_STALE, actions);
@@ -203,52 +216,60 @@
 	}
 }
 
-/* Nobody waits any more: the next confirmer goes on from here. */
+/* Ends a confirmation without an outcome; the next one continues from here. */
 static void stop_confirming(struct plan_entry *entry)
 {
-	entry->state = entry->doubt ? PLAN_IN_DOUBT : PLAN_OPEN;
-	entry->resend_us = INT64_MAX;
+	entry->state = entry->write_in_doubt ? PLAN_IN_DOUBT : PLAN_UNCONFIRMED;
+	entry->next_write_us = INT64_MAX;
 }
 
-/* Who waits is told at the deadline what is known then. */
-static void give_up(struct plan_entry *entry, struct action_list *actions)
+/*
+ * Answers the waiting calls at their deadline with what is known about the
+ * plan by then.
+ */
+static void expire_waiting_calls(struct plan_entry *entry,
+				 struct action_list *actions)
 {
 	if (!entry->kv_id)
 		stop_confirming(entry);
-	answer_waiting(entry,
-		       entry->state == PLAN_OPEN ? PLAN_ANSWER_UNREACHABLE
-						 : PLAN_ANSWER_IN_DOUBT,
-		       actions);
+	answer_waiting_calls(entry,
+			     entry->state == PLAN_UNCONFIRMED
+				     ? PLAN_ANSWER_UNREACHABLE
+				     : PLAN_ANSWER_IN_DOUBT,
+			     actions);
 }
 
 /*
- * Writes the same again after a while. That is safe, as only one of the writes
- * finds the base revision, and it settles what a read would not: a write whose
- * answer was lost may still be on its way when the read is answered.
+ * Schedules the same write again, with exponential backoff and jitter.
+ * Repeating it is safe, as at most one of the writes finds the key at the base
+ * revision. A read would not resolve the outcome: a write whose answer was lost
+ * may still be in flight when the read is answered.
  */
 static void schedule_resend(struct plan_entry *entry, int64_t now_us)
 {
 	int64_t limit_us =
-		MIN((int64_t)FIRST_RESEND_US << entry->resends, LAST_RESEND_US);
+		MIN((int64_t)FIRST_RESEND_DELAY_US << entry->backoff_steps,
+		    MAX_RESEND_DELAY_US);
 
-	if (entry->waiting->len == 0) {
+	if (entry->waiting_calls->len == 0) {
 		stop_confirming(entry);
 		return;
 	}
-	entry->resends = MIN(entry->resends + 1, MAX_RESENDS);
-	entry->resend_us =
+	entry->backoff_steps = MIN(entry->backoff_steps + 1, MAX_BACKOFF_STEPS);
+	entry->next_write_us =
 		now_us + g_rand_int_range(entry->random, (gint32)(limit_us / 2),
 					  (gint32)limit_us + 1);
 }
 
 /*
- * The key is no longer at the plan's base. If no earlier write was in doubt
- * this one was certainly not applied; else the document tells, and if it
- * cannot, the plan stays in doubt.
+ * Handles a write that found the key at another revision than the plan's base.
+ * If the answer to no earlier write was lost, the plan was certainly not
+ * applied. Otherwise the stored document shows whether it was; if that cannot
+ * be told from the document, the plan stays in doubt.
  */
-static void settle_conflict(struct plan_entry *entry,
-			    const struct kv_answer *answer,
-			    struct action_list *actions)
+static void resolve_conflict(struct plan_entry *entry,
+			     const struct kv_answer *answer,
+			     struct action_list *actions)
 {
 	const struct kv_entry *found =
 		answer->entries && answer->entries->len
@@ -257,24 +278,27 @@
 	struct config *config = NULL;
 
 	entry->current_revision = found ? found->mod_revision : 0;
-	if (!entry->doubt) {
-		settle_no(entry, entry->current_revision, actions);
+	if (!entry->write_in_doubt) {
+		record_rejected(entry, entry->current_revision, actions);
 		return;
 	}
 	if (found)
 		config = config_json_parse(found->value, found->mod_revision,
 					   NULL);
-	if (!settle_by_config(entry, config, actions)) {
+	if (!resolve_from_config(entry, config, actions)) {
 		stop_confirming(entry);
-		answer_waiting(entry, PLAN_ANSWER_IN_DOUBT, actions);
+		answer_waiting_calls(entry, PLAN_ANSWER_IN_DOUBT, actions);
 	}
 	config_unref(config);
 }
 
 /*
- * Confirms a plan, once however often and by whomever it is asked. in_force is
- * the configuration in force at this node, or NULL; it settles what it can
- * before the service is asked, so that an answer is had in an outage too.
+ * Confirms a plan for a call, which is answered now or by a later event. The
+ * plan is applied at most once, no matter how many operators confirm it and
+ * how often. in_force is the configuration in force at this node, or NULL. It
+ * is read before anything is written, so that a plan whose outcome it shows
+ * gets its answer during an outage of the key-value store too, and a plan whose
+ * base revision has been replaced is refused without a write.
  */
 void plan_entry_confirm(struct plan_entry *entry, uint64_t call,
 			const char *operator_name,
@@ -282,11 +306,11 @@
 			struct action_list *actions)
 {
 	if (entry->state != PLAN_TOOK_EFFECT && entry->state != PLAN_REJECTED)
-		settle_by_config(entry, in_force, actions);
+		resolve_from_config(entry, in_force, actions);
 	confirm_entry(entry, call, operator_name, now_us, actions);
 }
 
-/* Takes the answer to the write in flight. */
+/* Handles the answer to the write in flight. */
 void plan_entry_kv(struct plan_entry *entry, const struct kv_answer *answer,
 		   int64_t now_us, struct action_list *actions)
 {
@@ -295,13 +319,13 @@
 		return;
 	switch (answer->outcome) {
 	case KV_OK:
-		settle_yes(entry, answer->revision, actions);
+		record_applied(entry, answer->revision, actions);
 		break;
 	case KV_CONFLICT:
-		settle_conflict(entry, answer, actions);
+		resolve_conflict(entry, answer, actions);
 		break;
 	case KV_ANSWER_LOST:
-		entry->doubt = true;
+		entry->write_in_doubt = true;
 		schedule_resend(entry, now_us);
 		break;
 	case KV_NOT_FOUND:
@@ -311,18 +335,21 @@
 	}
 }
 
-/* Writes again when that is due, and answers those who waited long enough. */
+/* Repeats the write when that is due and answers calls at their deadline. */
 void plan_entry_step(struct plan_entry *entry, int64_t now_us,
 		     struct action_list *actions)
 {
 	if (now_us >= entry->deadline_us)
-		give_up(entry, actions);
-	else if (now_us >= entry->resend_us)
+		expire_waiting_calls(entry, actions);
+	else if (now_us >= entry->next_write_us)
 		send_write(entry, actions);
 }
 
-/* When plan_entry_step() has something to do; INT64_MAX: nothing. */
+/*
+ * Returns the time at which plan_entry_step() must be called next, or INT64_MAX
+ * if neither a write nor a deadline is pending.
+ */
 int64_t plan_entry_next_due_us(const struct plan_entry *entry)
 {
-	return MIN(entry->resend_us, entry->deadline_us);
+	return MIN(entry->next_write_us, entry->deadline_us);
 }
--- a/core/plan/plan_entry.h
+++ b/core/plan/plan_entry.h
@@ -8,31 +8,31 @@
 G_BEGIN_DECLS
 
 /*
- * One plan of the book on its way to a settled outcome. Private to
+ * One plan of the plan book and the state of its confirmation. Private to
  * core/plan/plan_book.c and core/plan/plan_entry.c.
  */
 
 enum plan_state {
-	PLAN_OPEN,
+	PLAN_UNCONFIRMED,
 	PLAN_CONFIRMING,
-	PLAN_IN_DOUBT, /* a write may have been applied; nobody waits */
+	PLAN_IN_DOUBT, /* a write may have been applied; no call waits */
 	PLAN_TOOK_EFFECT,
 	PLAN_REJECTED /* can never take effect */
 };
 
 struct plan_entry {
 	struct plan *plan;
-	const struct plan_book_options *options; /* the book's */
+	const struct plan_book_options *options; /* owned by the plan book */
 	GRand *random;
 	enum plan_state state;
-	GArray *waiting; /* uint64_t: calls to answer */
-	bool doubt;	 /* a write was sent and not answered */
-	uint64_t kv_id;	 /* write in flight; 0: none */
-	int resends;
-	int64_t resend_us;   /* next write; INT64_MAX: none */
-	int64_t deadline_us; /* of who waits; INT64_MAX: nobody */
-	int64_t revision;    /* took effect at */
-	int64_t current_revision;
+	GArray *waiting_calls; /* uint64_t: ids of calls to answer */
+	bool write_in_doubt;   /* the answer to a write was lost */
+	uint64_t kv_id;	       /* id of the write in flight; 0: none */
+	int backoff_steps;
+	int64_t next_write_us;	  /* INT64_MAX: no write planned */
+	int64_t deadline_us;	  /* of the waiting calls; INT64_MAX: none */
+	int64_t revision;	  /* at which the plan took effect */
+	int64_t current_revision; /* of the configuration, at a conflict */
 };
 
 struct plan_entry *plan_entry_create(struct plan *plan,
--- a/core/plan/plan_rollout.c
+++ b/core/plan/plan_rollout.c
@@ -17,30 +17,34 @@
 }
 
 /*
- * A rollout that is new or changed starts afresh under the plan's id, with no
- * failures counted; one that stays as it is goes on.
+ * Copies a rollout into the plan's result. A new or changed rollout gets the
+ * plan's id, so that it starts from the beginning with no failures counted. An
+ * unchanged rollout keeps its id and continues.
  */
 static void add_rollout(struct plan *plan, const struct config *base,
-			const struct config_rollout *from)
+			const struct config_rollout *source)
 {
 	const struct config_rollout *before =
-		config_find_rollout(base, from->name);
+		config_find_rollout(base, source->name);
 	struct config_rollout *rollout =
-		config_add_rollout(plan->result, from->name);
-	bool same = before && rollouts_are_equal(before, from);
+		config_add_rollout(plan->result, source->name);
+	bool unchanged = before && rollouts_are_equal(before, source);
 
 	g_free(rollout->service);
 	g_free(rollout->target);
 	g_free(rollout->id);
-	rollout->service = g_strdup(from->service);
-	rollout->target = g_strdup(from->target);
-	rollout->id = g_strdup(same ? before->id : plan->id);
-	rollout->max_parallel = from->max_parallel;
-	rollout->min_ready_percent = from->min_ready_percent;
-	rollout->max_failures = from->max_failures;
+	rollout->service = g_strdup(source->service);
+	rollout->target = g_strdup(source->target);
+	rollout->id = g_strdup(unchanged ? before->id : plan->id);
+	rollout->max_parallel = source->max_parallel;
+	rollout->min_ready_percent = source->min_ready_percent;
+	rollout->max_failures = source->max_failures;
 }
 
-/* Those of base but for what the intent removes or replaces, and its own. */
+/*
+ * Fills in the rollouts of the plan's result: those of base, except those that
+ * the intent removes or replaces, then those of the intent.
+ */
 void plan_merge_rollouts(struct plan *plan, const struct config *base,
 			 const struct intent *intent)
 {
@@ -59,7 +63,10 @@
 			    g_ptr_array_index(intent->items->rollouts, i));
 }
 
-/* Those of an earlier configuration. */
+/*
+ * Fills in the rollouts of the plan's result with those of an earlier
+ * configuration, for a rollback.
+ */
 void plan_copy_rollouts(struct plan *plan, const struct config *base,
 			const struct config *earlier)
 {
@@ -68,7 +75,7 @@
 			    g_ptr_array_index(earlier->rollouts, i));
 }
 
-static gint compare_endpoints(gconstpointer a, gconstpointer b)
+static gint compare_batch_order(gconstpointer a, gconstpointer b)
 {
 	const struct config_endpoint *const *left = a;
 	const struct config_endpoint *const *right = b;
@@ -77,8 +84,11 @@
 	return order ? order : strcmp((*left)->address, (*right)->address);
 }
 
-/* The endpoints in the order in which the rollout takes them. */
-static GPtrArray *sorted_endpoints(const struct config_service *service)
+/*
+ * Returns the endpoints that are not leaving in the order in which a rollout
+ * updates them: by failure domain, then by address.
+ */
+static GPtrArray *sort_endpoints(const struct config_service *service)
 {
 	GPtrArray *endpoints = g_ptr_array_new();
 
@@ -89,17 +99,21 @@
 		if (!endpoint->leaving)
 			g_ptr_array_add(endpoints, endpoint);
 	}
-	g_ptr_array_sort(endpoints, compare_endpoints);
+	g_ptr_array_sort(endpoints, compare_batch_order);
 	return endpoints;
 }
 
-/* How many of one failure domain follow from i on, at most room. */
-static guint batch_size(const GPtrArray *endpoints, guint i, guint room)
+/*
+ * Returns the size of the batch that starts at index i: endpoints of one
+ * failure domain, at most max_unavailable of them.
+ */
+static guint batch_size(const GPtrArray *endpoints, guint i,
+			guint max_unavailable)
 {
 	const struct config_endpoint *first = g_ptr_array_index(endpoints, i);
 	guint size = 1;
 
-	while (size < room && i + size < endpoints->len) {
+	while (size < max_unavailable && i + size < endpoints->len) {
 		const struct config_endpoint *next =
 			g_ptr_array_index(endpoints, i + size);
 
@@ -111,13 +125,13 @@
 }
 
 static void add_batch_line(struct plan *plan, const char *name, guint number,
-			   const GPtrArray *endpoints, guint from, guint size)
+			   const GPtrArray *endpoints, guint start, guint size)
 {
 	const struct config_endpoint *first =
-		g_ptr_array_index(endpoints, from);
+		g_ptr_array_index(endpoints, start);
 	GString *addresses = g_string_new(NULL);
 
-	for (guint i = from; i < from + size; i++) {
+	for (guint i = start; i < start + size; i++) {
 		const struct config_endpoint *endpoint =
 			g_ptr_array_index(endpoints, i);
 
@@ -133,12 +147,12 @@
 }
 
 static void add_batch_lines(struct plan *plan, const char *name,
-			    const GPtrArray *endpoints, guint room)
+			    const GPtrArray *endpoints, guint max_unavailable)
 {
 	guint number = 0;
 
 	for (guint i = 0; i < endpoints->len;) {
-		guint size = batch_size(endpoints, i, room);
+		guint size = batch_size(endpoints, i, max_unavailable);
 
 		if (++number <= MAX_BATCH_LINES)
 			add_batch_line(plan, name, number, endpoints, i, size);
@@ -150,19 +164,20 @@
 			      number - MAX_BATCH_LINES);
 }
 
-static void warn_of_rollout(struct plan *plan,
-			    const struct config_rollout *rollout,
-			    const GPtrArray *endpoints, int32_t room)
+static void warn_about_rollout(struct plan *plan,
+			       const struct config_rollout *rollout,
+			       const GPtrArray *endpoints,
+			       int32_t max_unavailable)
 {
-	guint unchecked = 0;
+	guint unfenced = 0;
 
 	for (guint i = 0; i < endpoints->len; i++) {
 		const struct config_endpoint *endpoint =
 			g_ptr_array_index(endpoints, i);
 
-		unchecked += !endpoint->checks_fence;
+		unfenced += !endpoint->checks_fence;
 	}
-	if (room <= 0)
+	if (max_unavailable <= 0)
 		plan_add_line(plan->warnings,
 			      "rollout %s stops at once: taking out one of %u "
 			      "endpoints leaves less than %d%% in use",
@@ -172,14 +187,15 @@
 		plan_add_line(plan->warnings,
 			      "rollout %s leaves %u of %u endpoints of service "
 			      "%s in use while it runs",
-			      rollout->name, endpoints->len - (guint)room,
+			      rollout->name,
+			      endpoints->len - (guint)max_unavailable,
 			      endpoints->len, rollout->service);
-	if (unchecked)
+	if (unfenced)
 		plan_add_line(plan->warnings,
 			      "rollout %s: %u endpoints do not check fencing "
 			      "numbers; a late order there is corrected after "
 			      "it ran",
-			      rollout->name, unchecked);
+			      rollout->name, unfenced);
 }
 
 static void describe_batches(struct plan *plan,
@@ -188,19 +204,21 @@
 	const struct config_service *service =
 		config_find_service(plan->result, rollout->service);
 	GPtrArray *endpoints;
-	int32_t total;
-	int32_t keep;
-	int32_t room;
+	int32_t endpoint_count;
+	int32_t min_in_use;
+	int32_t max_unavailable;
 
 	if (!service)
 		return;
-	endpoints = sorted_endpoints(service);
-	total = (int32_t)endpoints->len;
-	keep = (total * rollout->min_ready_percent + 99) / 100;
-	room = MIN(total - keep, rollout->max_parallel);
-	if (room > 0)
-		add_batch_lines(plan, rollout->name, endpoints, (guint)room);
-	warn_of_rollout(plan, rollout, endpoints, room);
+	endpoints = sort_endpoints(service);
+	endpoint_count = (int32_t)endpoints->len;
+	min_in_use = (endpoint_count * rollout->min_ready_percent + 99) / 100;
+	max_unavailable =
+		MIN(endpoint_count - min_in_use, rollout->max_parallel);
+	if (max_unavailable > 0)
+		add_batch_lines(plan, rollout->name, endpoints,
+				(guint)max_unavailable);
+	warn_about_rollout(plan, rollout, endpoints, max_unavailable);
 	g_ptr_array_unref(endpoints);
 }
 
@@ -232,7 +250,11 @@
 	describe_batches(plan, rollout);
 }
 
-/* Which endpoints each new or changed rollout touches, in which order. */
+/*
+ * Adds to the plan's differences each new or changed rollout with its batches
+ * in order, and each removed one. Adds to its warnings how many endpoints a new
+ * or changed rollout leaves in use and how many do not check fencing numbers.
+ */
 void plan_describe_rollouts(struct plan *plan, const struct config *base)
 {
 	for (guint i = 0; i < plan->result->rollouts->len; i++) {
--- a/core/plan/plan_rollout.h
+++ b/core/plan/plan_rollout.h
@@ -6,7 +6,7 @@
 
 G_BEGIN_DECLS
 
-/* The rollouts of a plan: which there will be, and what each will touch. */
+/* Rollouts of a plan: fills them in and describes their batches. */
 void plan_merge_rollouts(struct plan *plan, const struct config *base,
 			 const struct intent *intent);
 void plan_copy_rollouts(struct plan *plan, const struct config *base,
--- a/core/plan/plan_route.c
+++ b/core/plan/plan_route.c
@@ -6,12 +6,16 @@
 
 #define US_PER_MS 1000
 
-static void copy_route(struct plan *plan, const struct route *route)
+static void add_route_copy(struct plan *plan, const struct route *route)
 {
 	g_ptr_array_add(plan->result->routes, route_copy(route));
 }
 
-/* Those of base but for what the intent removes or replaces, and its own. */
+/*
+ * Fills in the routes of the plan's result: those of base, except those that
+ * the intent removes or replaces, then those of the intent. The limits for
+ * callers come from the intent if it has any, else from base.
+ */
 void plan_merge_routes(struct plan *plan, const struct config *base,
 		       const struct intent *intent)
 {
@@ -22,19 +26,23 @@
 		    !g_ptr_array_find_with_equal_func(intent->remove_routes,
 						      route->name, g_str_equal,
 						      NULL))
-			copy_route(plan, route);
+			add_route_copy(plan, route);
 	}
 	for (guint i = 0; i < intent->items->routes->len; i++)
-		copy_route(plan, g_ptr_array_index(intent->items->routes, i));
+		add_route_copy(plan,
+			       g_ptr_array_index(intent->items->routes, i));
 	plan->result->callers =
 		intent->has_callers ? intent->items->callers : base->callers;
 }
 
-/* Those of an earlier configuration. */
+/*
+ * Fills in the routes and the limits for callers of the plan's result with
+ * those of an earlier configuration, for a rollback.
+ */
 void plan_copy_routes(struct plan *plan, const struct config *earlier)
 {
 	for (guint i = 0; i < earlier->routes->len; i++)
-		copy_route(plan, g_ptr_array_index(earlier->routes, i));
+		add_route_copy(plan, g_ptr_array_index(earlier->routes, i));
 	plan->result->callers = earlier->callers;
 }
 
@@ -52,15 +60,16 @@
 	g_free(targets);
 }
 
-static void add_number(GString *changes, const char *name, int64_t before,
-		       int64_t after)
+/* Both durations are in microseconds; they are shown in milliseconds. */
+static void add_duration_change(GString *changes, const char *name,
+				int64_t before, int64_t after)
 {
 	plan_add_int_change(changes, name, before / US_PER_MS,
 			    after / US_PER_MS);
 }
 
-static void compare_targets(GString *changes, const struct route *before,
-			    const struct route *after)
+static void add_targets_change(GString *changes, const struct route *before,
+			       const struct route *after)
 {
 	char *old_targets = route_describe_targets(before);
 	char *targets = route_describe_targets(after);
@@ -87,24 +96,26 @@
 			    after->priority);
 	plan_add_int_change(changes, "max_attempts", before->max_attempts,
 			    after->max_attempts);
-	add_number(changes, "timeout_ms", before->timeout_us,
-		   after->timeout_us);
-	add_number(changes, "first_answer_ms", before->first_answer_us,
-		   after->first_answer_us);
-	add_number(changes, "longest_pause_ms", before->longest_pause_us,
-		   after->longest_pause_us);
-	compare_targets(changes, before, after);
+	add_duration_change(changes, "timeout_ms", before->timeout_us,
+			    after->timeout_us);
+	add_duration_change(changes, "first_answer_ms", before->first_answer_us,
+			    after->first_answer_us);
+	add_duration_change(changes, "longest_pause_ms",
+			    before->longest_pause_us, after->longest_pause_us);
+	add_targets_change(changes, before, after);
 	plan_add_line(plan->differences, "change route %s: %s", after->name,
 		      changes->str);
 	g_string_free(changes, TRUE);
 }
 
 /*
- * Once its requests may run twice, a caller whose answer was lost can be
- * charged twice; nobody should find that out from the callers.
+ * Warns about changes that callers of a route notice. If its requests may now
+ * run twice, a caller whose answer was lost can be charged twice; the operator
+ * must see that before callers complain.
  */
-static void warn_of_change(struct plan *plan, const struct route *before,
-			   const struct route *after)
+static void warn_about_changed_route(struct plan *plan,
+				     const struct route *before,
+				     const struct route *after)
 {
 	if (before->kind != ROUTE_IDEMPOTENT && after->kind == ROUTE_IDEMPOTENT)
 		plan_add_line(plan->warnings,
@@ -135,12 +146,12 @@
 	if (route_is_equal(before, route))
 		return;
 	describe_changed_route(plan, before, route);
-	warn_of_change(plan, before, route);
+	warn_about_changed_route(plan, before, route);
 }
 
-static void describe_callers(struct plan *plan,
-			     const struct caller_limits *before,
-			     const struct caller_limits *after)
+static void describe_caller_limits(struct plan *plan,
+				   const struct caller_limits *before,
+				   const struct caller_limits *after)
 {
 	GString *changes = g_string_new(NULL);
 
@@ -148,17 +159,21 @@
 			    after->header_bytes);
 	plan_add_int_change(changes, "body_bytes", before->body_bytes,
 			    after->body_bytes);
-	add_number(changes, "header_timeout_ms", before->header_timeout_us,
-		   after->header_timeout_us);
-	add_number(changes, "idle_timeout_ms", before->idle_timeout_us,
-		   after->idle_timeout_us);
+	add_duration_change(changes, "header_timeout_ms",
+			    before->header_timeout_us,
+			    after->header_timeout_us);
+	add_duration_change(changes, "idle_timeout_ms", before->idle_timeout_us,
+			    after->idle_timeout_us);
 	if (changes->len)
 		plan_add_line(plan->differences, "change callers: %s",
 			      changes->str);
 	g_string_free(changes, TRUE);
 }
 
-/* Which routes are added, changed and removed, and what that breaks. */
+/*
+ * Adds to the plan's differences which routes and limits for callers change,
+ * and to its warnings which requests fail or behave otherwise after that.
+ */
 void plan_describe_routes(struct plan *plan, const struct config *base)
 {
 	for (guint i = 0; i < plan->result->routes->len; i++) {
@@ -180,5 +195,5 @@
 			      "refused or taken by another route",
 			      route->name, route->host, route->path_prefix);
 	}
-	describe_callers(plan, &base->callers, &plan->result->callers);
+	describe_caller_limits(plan, &base->callers, &plan->result->callers);
 }
--- a/core/plan/plan_route.h
+++ b/core/plan/plan_route.h
@@ -6,7 +6,7 @@
 
 G_BEGIN_DECLS
 
-/* The routes of a plan: which there will be, and what changes for callers. */
+/* Routes of a plan: fills them in and describes what changes for callers. */
 void plan_merge_routes(struct plan *plan, const struct config *base,
 		       const struct intent *intent);
 void plan_copy_routes(struct plan *plan, const struct config *earlier);
--- a/tests/plan_test.cc
+++ b/tests/plan_test.cc
@@ -103,7 +103,7 @@
 	config_unref(again);
 }
 
-TEST(ConfigJson, NamesThePlaceOfAMistake)
+TEST(ConfigJson, ErrorNamesThePlace)
 {
 	const struct {
 		const char *text;
@@ -152,9 +152,9 @@
 }
 
 /*
- * A document nested a million levels deep, or of more than a megabyte, comes
- * from a broken service or an attacker. The caller sees an error; the parser,
- * which recurses, is never given the text, so that the stack holds.
+ * Guards against a stack overflow in the recursive parser. A document nested a
+ * million levels deep, or of more than a megabyte, comes from a broken service
+ * or an attacker; it must be refused with an error before the parser sees it.
  */
 TEST(ConfigJson, RefusesDeepAndLargeDocuments)
 {
@@ -195,7 +195,7 @@
 	plan_destroy(plan);
 }
 
-TEST(Plan, ResultCarriesPlanAndHistoryAndNoSecretShows)
+TEST(Plan, ResultCarriesPlanAndHistoryButShowsNoSecret)
 {
 	struct plan *plan = plan_on(base_text,
 				    R"({"organisations":[{"name":"kgotso",
@@ -229,7 +229,7 @@
 	plan_destroy(plan);
 }
 
-TEST(Plan, KeepsTheKeyOfAnOrganisationThatGivesNone)
+TEST(Plan, OrganisationWithoutKeyKeepsItsKey)
 {
 	struct plan *plan =
 		plan_on(base_text,
@@ -242,7 +242,7 @@
 	plan_destroy(plan);
 }
 
-TEST(Plan, RefusesNonsense)
+TEST(Plan, RefusesInvalidIntents)
 {
 	EXPECT_EQ("invalid: service: expected no such key",
 		  plan_error(R"({"service":[]})"));
@@ -288,7 +288,7 @@
 	plan_destroy(plan);
 }
 
-TEST(Plan, RolloutThatStaysKeepsItsId)
+TEST(Plan, UnchangedRolloutKeepsItsId)
 {
 	const char *const rollout =
 		R"({"name":"v2","service":"w","target":"t"})";
@@ -314,7 +314,7 @@
 	plan_destroy(removed);
 }
 
-TEST(Plan, RefusesRolloutsThatCannotBe)
+TEST(Plan, RefusesInvalidRollouts)
 {
 	EXPECT_EQ("invalid: rollout v2: expected a service of kind generation, "
 		  "found none named portal",
@@ -402,7 +402,7 @@
 	plan_destroy(plan);
 }
 
-TEST(PlanRoutes, WarnsOfARouteThatGoes)
+TEST(PlanRoutes, WarnsAboutRemovedRoute)
 {
 	struct error error = {};
 	struct plan *plan =
@@ -417,7 +417,7 @@
 	plan_destroy(plan);
 }
 
-TEST(PlanRoutes, RefusesWhatWouldMisleadRequests)
+TEST(PlanRoutes, RefusesInvalidRoutes)
 {
 	const std::string route =
 		R"({"routes":[{"name":"a","host":"h","path_prefix":"/a/",
@@ -455,13 +455,13 @@
 		  route_plan_error(R"({"callers":{"header_bytes":1}})"));
 }
 
-TEST(PlanRoutes, AServiceThatARouteNeedsStays)
+TEST(PlanRoutes, RefusesToRemoveAServiceInUse)
 {
 	EXPECT_EQ("route lookup: expected a service, found none named old",
 		  route_plan_error(R"({"remove_services":["old"]})"));
 }
 
-TEST(PlanRoutes, RoutesAndKeysSurviveTheDocument)
+TEST(PlanRoutes, RoutesAndKeysSurviveFormatAndParse)
 {
 	const std::string digest(64, 'a');
 	const std::string text =
