--- a/core/json/json_member.c
+++ b/core/json/json_member.c
@@ -1,6 +1,6 @@
 #include "core/json/json_member.h"
 
-/* An array member; NULL: it is none. */
+/* Returns an array member, or NULL if it is missing or no array. */
 JsonArray *json_member_array(JsonObject *object, const char *name)
 {
 	JsonNode *node = json_object_get_member(object, name);
@@ -9,7 +9,7 @@
 						   : NULL;
 }
 
-/* An object member; NULL: it is none. */
+/* Returns an object member, or NULL if it is missing or no object. */
 JsonObject *json_member_object(JsonObject *object, const char *name)
 {
 	JsonNode *node = json_object_get_member(object, name);
@@ -18,7 +18,7 @@
 						    : NULL;
 }
 
-/* An object in an array; NULL: it is none. */
+/* Returns element i of an array, or NULL if it is no object. */
 JsonObject *json_element_object(JsonArray *array, guint i)
 {
 	JsonNode *node = json_array_get_element(array, i);
--- a/core/json/json_member.h
+++ b/core/json/json_member.h
@@ -7,8 +7,8 @@
 G_BEGIN_DECLS
 
 /*
- * Lenient reading of JSON, where a member of another kind is passed over like
- * one that is missing. Strict reading: json_reader.h.
+ * Lenient reading of JSON: a member of the wrong type is treated like one that
+ * is missing. For strict reading, see json_reader.h.
  */
 JsonArray *json_member_array(JsonObject *object, const char *name);
 JsonObject *json_member_object(JsonObject *object, const char *name);
--- a/core/json/json_reader.c
+++ b/core/json/json_reader.c
@@ -6,30 +6,30 @@
 enum { MAX_DEPTH = 32 };
 
 /*
- * The parser recurses for each level and also reads comments and other
- * extensions. Deep nesting would overflow the stack and end the process, so
- * the depth is counted first; that count is right only where nothing outside
- * of strings but plain JSON is let through.
+ * Scans a text before it is parsed and returns what was expected, or NULL. The
+ * parser recurses for each level, so deep nesting would overflow the stack and
+ * end the process. It also accepts comments and other extensions, within which
+ * brackets would be miscounted, so only plain JSON is allowed outside strings.
  */
 static const char *json_reader_scan(const char *text, size_t size)
 {
 	int depth = 0;
-	bool quoted = false;
+	bool in_string = false;
 
 	for (size_t i = 0; i < size; i++) {
 		char c = text[i];
 
 		if (c == '\0')
 			return "no NUL byte";
-		if (quoted) {
+		if (in_string) {
 			if (c == '\\')
 				i++;
 			else if (c == '"')
-				quoted = false;
+				in_string = false;
 			continue;
 		}
 		if (c == '"')
-			quoted = true;
+			in_string = true;
 		else if (c == '{' || c == '[')
 			depth++;
 		else if (c == '}' || c == ']')
@@ -39,12 +39,12 @@
 		if (depth > MAX_DEPTH)
 			return "at most 32 levels";
 	}
-	return quoted || depth != 0 ? "a whole JSON text" : NULL;
+	return in_string || depth != 0 ? "a whole JSON text" : NULL;
 }
 
 struct member_counts {
-	GHashTable *counts; /* JsonObject * to members parsed so far */
-	bool doubled;
+	GHashTable *counts; /* JsonObject * to number of members parsed */
+	bool duplicate_found;
 };
 
 static void on_object_member(JsonParser *parser, JsonObject *object,
@@ -66,17 +66,18 @@
 
 	(void)parser;
 	if (GPOINTER_TO_SIZE(count) != json_object_get_size(object))
-		members->doubled = true;
+		members->duplicate_found = true;
 	g_hash_table_remove(members->counts, object);
 }
 
 /*
- * The parser keeps the last of two members with one name, so that a reviewer
- * of the text and the process could see different values. Counting the members
- * of each object against what it holds in the end finds them.
+ * Detects duplicate member names by comparing the number of members parsed with
+ * the size of the finished object. The parser keeps only the last of two
+ * members with the same name, so that a reviewer of the text and the process
+ * could see different values.
  */
-static void json_reader_watch_members(JsonParser *parser,
-				      struct member_counts *members)
+static void json_reader_find_duplicates(JsonParser *parser,
+					struct member_counts *members)
 {
 	members->counts = g_hash_table_new(NULL, NULL);
 	g_signal_connect(parser, "object-member", G_CALLBACK(on_object_member),
@@ -86,7 +87,7 @@
 }
 
 static JsonNode *json_reader_load(const char *text, size_t size,
-				  bool members_once, const char *step,
+				  bool unique_members, const char *step,
 				  struct error *error)
 {
 	struct member_counts members = {NULL, false};
@@ -94,13 +95,13 @@
 	GError *cause = NULL;
 	JsonNode *root = NULL;
 
-	if (members_once)
-		json_reader_watch_members(parser, &members);
+	if (unique_members)
+		json_reader_find_duplicates(parser, &members);
 	if (!json_parser_load_from_data(parser, text, (gssize)size, &cause)) {
 		error_set(error, ERROR_INVALID, step, "", "not JSON: %s",
 			  cause->message);
 		g_error_free(cause);
-	} else if (members.doubled) {
+	} else if (members.duplicate_found) {
 		error_set(error, ERROR_INVALID, step, "",
 			  "an object has two members of one name");
 	} else {
@@ -115,7 +116,7 @@
 }
 
 static JsonNode *json_reader_check(GBytes *document, size_t max_bytes,
-				   bool members_once, const char *step,
+				   bool unique_members, const char *step,
 				   struct error *error)
 {
 	size_t size = 0;
@@ -138,13 +139,14 @@
 			  expected);
 		return NULL;
 	}
-	return json_reader_load(text, size, members_once, step, error);
+	return json_reader_load(text, size, unique_members, step, error);
 }
 
 /*
  * Parses a JSON text of at most max_bytes. Returns a node to free with
- * json_node_unref(), or NULL: ERROR_TOO_LARGE, or ERROR_INVALID for text that
- * is not JSON, too deep, or has an object with two members of one name.
+ * json_node_unref(), or NULL with ERROR_TOO_LARGE, or with ERROR_INVALID if the
+ * text is not plain JSON, is nested too deeply or has an object with two
+ * members of the same name.
  */
 JsonNode *json_reader_parse(GBytes *document, size_t max_bytes,
 			    const char *step, struct error *error)
@@ -153,9 +155,10 @@
 }
 
 /*
- * The same, but of two members of one name the last counts: for the many small
- * texts of a stream, in less than half the time, where no other reader's view
- * of the text matters.
+ * Parses like json_reader_parse(), but of two members with the same name the
+ * last one is used. This takes less than half the time and is meant for the
+ * many small texts of a stream, where no other reader's view of the text
+ * matters.
  */
 JsonNode *json_reader_parse_event(GBytes *document, size_t max_bytes,
 				  const char *step, struct error *error)
@@ -164,21 +167,21 @@
 }
 
 /*
- * Starts to read an object. The place, such as "services[2].", stands before
- * the member's name in errors. Returns false if the node is no object; the
+ * Starts to read an object. The path, such as "services[2].", precedes the
+ * name of the member in errors. Returns false if the node is no object. The
  * node must outlive the fields.
  */
 bool json_fields_begin(struct json_fields *fields, JsonNode *node,
 		       const char *step, struct error *error,
-		       const char *place_format, ...)
+		       const char *path_format, ...)
 {
 	va_list args;
 
 	memset(fields, 0, sizeof(*fields));
 	fields->step = step;
 	fields->error = error;
-	va_start(args, place_format);
-	g_vsnprintf(fields->place, sizeof(fields->place), place_format, args);
+	va_start(args, path_format);
+	g_vsnprintf(fields->path, sizeof(fields->path), path_format, args);
 	va_end(args);
 	if (!JSON_NODE_HOLDS_OBJECT(node)) {
 		json_fields_fail(fields, "", "an object");
@@ -188,7 +191,10 @@
 	return true;
 }
 
-/* Notes a mistake unless there was one before; name "" is the object itself. */
+/*
+ * Sets the error, unless an earlier one is set. The name "" refers to the
+ * object itself.
+ */
 void json_fields_fail(struct json_fields *fields, const char *name,
 		      const char *expected)
 {
@@ -196,10 +202,10 @@
 		return;
 	fields->failed = true;
 	error_set(fields->error, ERROR_INVALID, fields->step, "",
-		  "%s%s: expected %s", fields->place, name, expected);
+		  "%s%s: expected %s", fields->path, name, expected);
 }
 
-/* Fails for a member that is not in names, a list ended by NULL. */
+/* Fails if the object has a member that is not in the NULL-terminated names. */
 void json_fields_allow(struct json_fields *fields, const char *const *names)
 {
 	GList *members;
@@ -209,21 +215,21 @@
 	members = json_object_get_members(fields->object);
 	for (GList *l = members; l; l = l->next) {
 		const char *name = l->data;
-		char *shown;
+		char *escaped;
 
 		if (g_strv_contains(names, name))
 			continue;
-		shown = g_strescape(name, NULL);
-		if (strlen(shown) > 48)
-			shown[48] = '\0';
-		json_fields_fail(fields, shown, "no such key");
-		g_free(shown);
+		escaped = g_strescape(name, NULL);
+		if (strlen(escaped) > 48)
+			escaped[48] = '\0';
+		json_fields_fail(fields, escaped, "no such key");
+		g_free(escaped);
 		break;
 	}
 	g_list_free(members);
 }
 
-/* Whether the object has this member. */
+/* Returns whether the object has this member; false after an error. */
 bool json_fields_has(const struct json_fields *fields, const char *name)
 {
 	return !fields->failed && json_object_has_member(fields->object, name);
@@ -237,8 +243,9 @@
 }
 
 /*
- * A string of min_bytes to max_bytes; an absent one is "" if min_bytes is 0
- * and else a mistake. Never NULL. Valid as long as the object.
+ * Returns a string of min_bytes to max_bytes, valid as long as the object, or
+ * "" after an error; never NULL. A missing string is read as "", which is an
+ * error unless min_bytes is 0.
  */
 const char *json_fields_string(struct json_fields *fields, const char *name,
 			       size_t min_bytes, size_t max_bytes)
@@ -259,15 +266,18 @@
 	return "";
 }
 
-/* A whole number from min to max; absent if there is none. */
+/*
+ * Returns a whole number from min to max, or default_value if it is missing or
+ * invalid.
+ */
 int64_t json_fields_int(struct json_fields *fields, const char *name,
-			int64_t min, int64_t max, int64_t absent)
+			int64_t min, int64_t max, int64_t default_value)
 {
 	JsonNode *node = json_fields_get(fields, name);
 	char expected[96];
 
 	if (!node)
-		return absent;
+		return default_value;
 	if (json_node_get_value_type(node) == G_TYPE_INT64 &&
 	    json_node_get_int(node) >= min && json_node_get_int(node) <= max)
 		return json_node_get_int(node);
@@ -276,23 +286,27 @@
 		   " to %" G_GINT64_FORMAT,
 		   min, max);
 	json_fields_fail(fields, name, expected);
-	return absent;
+	return default_value;
 }
 
-/* true or false; absent if there is none. */
-bool json_fields_bool(struct json_fields *fields, const char *name, bool absent)
+/* Returns a boolean, or default_value if it is missing or invalid. */
+bool json_fields_bool(struct json_fields *fields, const char *name,
+		      bool default_value)
 {
 	JsonNode *node = json_fields_get(fields, name);
 
 	if (!node)
-		return absent;
+		return default_value;
 	if (json_node_get_value_type(node) == G_TYPE_BOOLEAN)
 		return json_node_get_boolean(node);
 	json_fields_fail(fields, name, "true or false");
-	return absent;
+	return default_value;
 }
 
-/* An array, or NULL if there is none. Valid as long as the object. */
+/*
+ * Returns an array, valid as long as the object, or NULL if it is missing or
+ * invalid.
+ */
 JsonArray *json_fields_array(struct json_fields *fields, const char *name)
 {
 	JsonNode *node = json_fields_get(fields, name);
--- a/core/json/json_reader.h
+++ b/core/json/json_reader.h
@@ -12,14 +12,14 @@
 G_BEGIN_DECLS
 
 /*
- * Strict reading of JSON from outside. The first mistake fills the error with
- * its place and what was expected there; later reads of the same fields then
- * do nothing, so that callers check once at the end.
+ * Strict reading of JSON from outside the process. The first error is kept,
+ * with the path and what was expected there. Later reads of the same fields
+ * then do nothing, so that callers need to check only once at the end.
  */
 struct json_fields {
 	JsonObject *object;
 	const char *step;
-	char place[80];
+	char path[80];
 	struct error *error;
 	bool failed;
 };
@@ -31,7 +31,7 @@
 
 bool json_fields_begin(struct json_fields *fields, JsonNode *node,
 		       const char *step, struct error *error,
-		       const char *place_format, ...) G_GNUC_PRINTF(5, 6);
+		       const char *path_format, ...) G_GNUC_PRINTF(5, 6);
 void json_fields_fail(struct json_fields *fields, const char *name,
 		      const char *expected);
 void json_fields_allow(struct json_fields *fields, const char *const *names);
@@ -39,9 +39,9 @@
 const char *json_fields_string(struct json_fields *fields, const char *name,
 			       size_t min_bytes, size_t max_bytes);
 int64_t json_fields_int(struct json_fields *fields, const char *name,
-			int64_t min, int64_t max, int64_t absent);
+			int64_t min, int64_t max, int64_t default_value);
 bool json_fields_bool(struct json_fields *fields, const char *name,
-		      bool absent);
+		      bool default_value);
 JsonArray *json_fields_array(struct json_fields *fields, const char *name);
 
 G_END_DECLS
--- a/core/json/json_writer.c
+++ b/core/json/json_writer.c
@@ -2,21 +2,21 @@
 
 #include <string.h>
 
-/* A text, also an empty one. */
+/* Adds a string member, even if it is empty. */
 void json_writer_text(JsonBuilder *builder, const char *name, const char *value)
 {
 	json_builder_set_member_name(builder, name);
 	json_builder_add_string_value(builder, value);
 }
 
-/* A number, whatever it is. */
+/* Adds an integer member. */
 void json_writer_number(JsonBuilder *builder, const char *name, int64_t value)
 {
 	json_builder_set_member_name(builder, name);
 	json_builder_add_int_value(builder, value);
 }
 
-/* A text, unless it is empty. */
+/* Adds a string member unless the string is empty. */
 void json_writer_string(JsonBuilder *builder, const char *name,
 			const char *value)
 {
@@ -24,15 +24,15 @@
 		json_writer_text(builder, name, value);
 }
 
-/* A number, unless it is the one that counts where none is given. */
+/* Adds an integer member unless it equals the default of a missing member. */
 void json_writer_int(JsonBuilder *builder, const char *name, int64_t value,
-		     int64_t absent)
+		     int64_t default_value)
 {
-	if (value != absent)
+	if (value != default_value)
 		json_writer_number(builder, name, value);
 }
 
-/* True, or nothing. */
+/* Adds a true member if value is true; otherwise adds nothing. */
 void json_writer_true(JsonBuilder *builder, const char *name, bool value)
 {
 	if (!value)
@@ -41,21 +41,24 @@
 	json_builder_add_boolean_value(builder, TRUE);
 }
 
-/* Begins a list as a member. */
+/* Begins an array member, which the caller ends. */
 void json_writer_begin_array(JsonBuilder *builder, const char *name)
 {
 	json_builder_set_member_name(builder, name);
 	json_builder_begin_array(builder);
 }
 
-/* Begins an object as a member. */
+/* Begins an object member, which the caller ends. */
 void json_writer_begin_object(JsonBuilder *builder, const char *name)
 {
 	json_builder_set_member_name(builder, name);
 	json_builder_begin_object(builder);
 }
 
-/* What was built, without white space; the builder is gone then. */
+/*
+ * Returns the text without white space, to be freed with g_free(). Drops the
+ * reference to the builder.
+ */
 char *json_writer_take_text(JsonBuilder *builder)
 {
 	JsonNode *root = json_builder_get_root(builder);
@@ -66,7 +69,7 @@
 	return text;
 }
 
-/* The same as bytes. */
+/* Returns the text as bytes, which the caller owns, and drops the builder. */
 GBytes *json_writer_take(JsonBuilder *builder)
 {
 	char *text = json_writer_take_text(builder);
--- a/core/json/json_writer.h
+++ b/core/json/json_writer.h
@@ -8,19 +8,19 @@
 
 G_BEGIN_DECLS
 
-/* Members of JSON objects. */
+/* Add a member to a JSON object. */
 void json_writer_text(JsonBuilder *builder, const char *name,
 		      const char *value);
 void json_writer_number(JsonBuilder *builder, const char *name, int64_t value);
 
-/* The same, left out where they say nothing. */
+/* Add a member unless it has its default value. */
 void json_writer_string(JsonBuilder *builder, const char *name,
 			const char *value);
 void json_writer_int(JsonBuilder *builder, const char *name, int64_t value,
-		     int64_t absent);
+		     int64_t default_value);
 void json_writer_true(JsonBuilder *builder, const char *name, bool value);
 
-/* Lists and objects as members; the caller ends them. */
+/* Begin an array or object member; the caller ends it. */
 void json_writer_begin_array(JsonBuilder *builder, const char *name);
 void json_writer_begin_object(JsonBuilder *builder, const char *name);
 
--- a/core/json/variant_json.c
+++ b/core/json/variant_json.c
@@ -2,7 +2,7 @@
 
 #include <json-glib/json-glib.h>
 
-/* Formats a variant as JSON and drops the reference if it is floating. */
+/* Formats a variant as JSON and consumes its reference if that is floating. */
 GBytes *variant_json_format(GVariant *variant)
 {
 	gsize length;
--- a/core/json/variant_json.h
+++ b/core/json/variant_json.h
@@ -5,7 +5,7 @@
 
 G_BEGIN_DECLS
 
-/* JSON text of a variant, as dumps and answers are written. */
+/* JSON text of a variant, for dumps and answers to queries. */
 GBytes *variant_json_format(GVariant *variant);
 
 G_END_DECLS
--- a/core/rollout/rollout.c
+++ b/core/rollout/rollout.c
@@ -20,7 +20,10 @@
 	return order ? order : strcmp((*left)->address, (*right)->address);
 }
 
-/* Two at once, three quarters in use, one failure allowed. */
+/*
+ * Fills in the defaults: at most two endpoints out of use at once, at least
+ * three quarters in use, one failure allowed.
+ */
 void rollout_options_default(struct rollout_options *options)
 {
 	memset(options, 0, sizeof(*options));
@@ -31,14 +34,17 @@
 	options->order_timeout_us = 2 * G_USEC_PER_SEC;
 	options->order_interval_us = 1 * G_USEC_PER_SEC;
 	options->read_interval_us = 1 * G_USEC_PER_SEC;
-	options->settle_us = 5 * G_USEC_PER_SEC;
+	options->take_out_propagation_us = 5 * G_USEC_PER_SEC;
 	options->return_us = 30 * G_USEC_PER_SEC;
 	options->drain_timeout_us = 1800 * G_USEC_PER_SEC;
 	options->load_timeout_us = 600 * G_USEC_PER_SEC;
 	options->verify_interval_us = 1 * G_USEC_PER_SEC;
 }
 
-/* A rollout that does nothing until holder, owned by the caller, holds. */
+/*
+ * Creates a rollout, to be freed with rollout_destroy(). It does nothing until
+ * the holder, which stays owned by the caller, holds its key.
+ */
 struct rollout *rollout_create(const struct rollout_options *options,
 			       struct holder *holder)
 {
@@ -67,7 +73,7 @@
 	return rollout;
 }
 
-/* Frees the rollout, not its holder; NULL is allowed. */
+/* Frees the rollout but not its holder. NULL is allowed. */
 void rollout_destroy(struct rollout *rollout)
 {
 	if (!rollout)
@@ -80,54 +86,56 @@
 	g_free(rollout);
 }
 
-/* Whether it runs, is done, or has stopped. */
+/* Returns whether the rollout is running, done or stopped. */
 enum rollout_phase rollout_phase(const struct rollout *rollout)
 {
 	return rollout->state.phase;
 }
 
-/* The id it was created with. */
+/* Returns the id that the rollout was created with. */
 const char *rollout_id(const struct rollout *rollout)
 {
 	return rollout->id;
 }
 
-/* What the endpoints are to run. */
+/* Returns the target that the endpoints are to run. */
 const char *rollout_target(const struct rollout *rollout)
 {
 	return rollout->target;
 }
 
-/* How long an order may be on its way. */
+/* Returns the longest time that an order may be in flight, in us. */
 int64_t rollout_order_timeout_us(const struct rollout *rollout)
 {
 	return rollout->options.order_timeout_us;
 }
 
-/* Why it has stopped, else "". */
+/* Returns why the rollout has stopped, or "" if it has not. */
 const char *rollout_reason(const struct rollout *rollout)
 {
 	return rollout->state.reason;
 }
 
-/* The endpoint at i, in order of failure domain and address. */
-struct rollout_endpoint *rollout_get(const struct rollout *rollout, size_t i)
+/* Returns endpoint i in the order of failure domain, then address. */
+struct rollout_endpoint *rollout_get_endpoint(const struct rollout *rollout,
+					      size_t i)
 {
 	return g_ptr_array_index(rollout->endpoints, i);
 }
 
-/* The endpoint at this address, or NULL. */
-struct rollout_endpoint *rollout_find(const struct rollout *rollout,
-				      const char *address)
+/* Returns the endpoint with this address, or NULL. */
+struct rollout_endpoint *rollout_find_endpoint(const struct rollout *rollout,
+					       const char *address)
 {
 	for (guint i = 0; i < rollout->endpoints->len; i++) {
-		if (strcmp(rollout_get(rollout, i)->address, address) == 0)
-			return rollout_get(rollout, i);
+		if (strcmp(rollout_get_endpoint(rollout, i)->address,
+			   address) == 0)
+			return rollout_get_endpoint(rollout, i);
 	}
 	return NULL;
 }
 
-/* Appends what is to be done with an endpoint. */
+/* Appends an effect for the caller to carry out on an endpoint. */
 void rollout_add_effect(const struct rollout *rollout, GArray *effects,
 			enum rollout_effect_type type,
 			const struct rollout_endpoint *endpoint)
@@ -138,7 +146,10 @@
 	g_array_append_val(effects, effect);
 }
 
-/* Begins nothing more, for this reason; what was begun is finished. */
+/*
+ * Stops the rollout for this reason, which is copied. No further batch begins;
+ * endpoints that were already ordered are finished.
+ */
 void rollout_stop(struct rollout *rollout, const char *reason)
 {
 	rollout->state.phase = ROLLOUT_STOPPED;
@@ -147,7 +158,7 @@
 	rollout->dirty = true;
 }
 
-/* Counts, from which the next batch follows. */
+/* Endpoint counts that decide whether a batch may begin and how large it is. */
 struct rollout_counts {
 	int32_t unread;
 	int32_t waiting;
@@ -156,15 +167,15 @@
 };
 
 /*
- * Other nodes go on sparing an endpoint for a while after it was put in, since
- * the word that it left is repeated and may outlive the word that it is back.
- * It counts as out of use until then, or batch after batch would pile up there
- * until no endpoint of the service was used.
+ * Other nodes keep avoiding an endpoint for a while after it was put back into
+ * use, since the announcement that it is leaving is repeated and may outlast
+ * the one that it is back. Until then it counts as out of use; otherwise
+ * successive batches would add up until no endpoint of the service was used.
  */
 static bool is_returning(const struct rollout_endpoint *endpoint,
 			 int64_t now_us)
 {
-	return now_us < endpoint->returned_us;
+	return now_us < endpoint->returning_until_us;
 }
 
 static struct rollout_counts count_endpoints(const struct rollout *rollout,
@@ -174,7 +185,7 @@
 
 	for (guint i = 0; i < rollout->endpoints->len; i++) {
 		const struct rollout_endpoint *endpoint =
-			rollout_get(rollout, i);
+			rollout_get_endpoint(rollout, i);
 
 		switch (endpoint->state) {
 		case ENDPOINT_UNREAD:
@@ -202,9 +213,12 @@
 	return counts;
 }
 
-/* How many may be taken out of use now, given what must stay. */
-static int32_t batch_room(const struct rollout *rollout,
-			  const struct rollout_counts *counts)
+/*
+ * Returns how many endpoints may be taken out of use now, given the number that
+ * must stay in use. The result may be negative.
+ */
+static int32_t batch_limit(const struct rollout *rollout,
+			   const struct rollout_counts *counts)
 {
 	int32_t total = (int32_t)rollout->endpoints->len;
 	int32_t keep = (total * rollout->options.min_ready_percent + 99) / 100;
@@ -212,50 +226,57 @@
 	return MIN(counts->in_use - keep, rollout->options.max_parallel);
 }
 
-/* The next endpoints that wait, all of the first failure domain that has one.
+/*
+ * Takes up to limit waiting endpoints out of use, all from the first failure
+ * domain that has a waiting endpoint.
  */
-static void begin_batch(struct rollout *rollout, int32_t room, int64_t now_us,
+static void begin_batch(struct rollout *rollout, int32_t limit, int64_t now_us,
 			GArray *effects)
 {
 	const char *domain = NULL;
 
-	for (guint i = 0; i < rollout->endpoints->len && room > 0; i++) {
-		struct rollout_endpoint *endpoint = rollout_get(rollout, i);
+	for (guint i = 0; i < rollout->endpoints->len && limit > 0; i++) {
+		struct rollout_endpoint *endpoint =
+			rollout_get_endpoint(rollout, i);
 
 		if (endpoint->state != ENDPOINT_WAITING)
 			continue;
 		if (domain && strcmp(domain, endpoint->failure_domain) != 0)
 			break;
 		domain = endpoint->failure_domain;
-		endpoint->orders = 0;
+		endpoint->orders_sent = 0;
 		rollout_endpoint_set_state(endpoint, ENDPOINT_DRAINING, now_us);
 		rollout_take_out(rollout, endpoint, effects);
-		room--;
+		limit--;
 	}
 }
 
-/* A batch is begun when the one before is over and its failures are stored. */
+/* Begins a batch once the previous one is over and its failures are stored. */
 static void step_batch(struct rollout *rollout, int64_t now_us, GArray *effects)
 {
 	struct rollout_counts counts = count_endpoints(rollout, now_us);
-	int32_t room = batch_room(rollout, &counts);
+	int32_t limit = batch_limit(rollout, &counts);
 
 	if (counts.unread || counts.in_progress || rollout->dirty ||
-	    rollout->kv_id || now_us < rollout->begin_us)
+	    rollout->kv_id || now_us < rollout->batches_from_us)
 		return;
 	if (counts.waiting == 0) {
 		rollout->state.phase = ROLLOUT_DONE;
 		rollout->dirty = true;
-	} else if (room <= 0) {
+	} else if (limit <= 0) {
 		rollout_stop(rollout, "taking out one more endpoint would "
 				      "leave too few in use");
 	} else if (holder_may_act(rollout->holder, now_us,
 				  rollout->options.order_timeout_us)) {
-		begin_batch(rollout, room, now_us, effects);
+		begin_batch(rollout, limit, now_us, effects);
 	}
 }
 
-/* After the end: one endpoint after the other that a late order may change. */
+/*
+ * After the end, reads back one endpoint per interval, in turn, skipping failed
+ * ones. Only endpoints that do not check the fencing number are read, since a
+ * late order can still change them.
+ */
 static void step_verify(struct rollout *rollout, int64_t now_us,
 			GArray *effects)
 {
@@ -265,8 +286,8 @@
 		return;
 	rollout->next_verify_us = now_us + rollout->options.verify_interval_us;
 	for (size_t i = 0; i < count; i++) {
-		struct rollout_endpoint *endpoint =
-			rollout_get(rollout, rollout->next_verify++ % count);
+		struct rollout_endpoint *endpoint = rollout_get_endpoint(
+			rollout, rollout->next_verify_index++ % count);
 
 		if (endpoint->checks_fence ||
 		    endpoint->state == ENDPOINT_FAILED)
@@ -277,17 +298,18 @@
 }
 
 /*
- * Puts into use again what this node took out and forgets what it knew:
- * another may hold the key now, or the rollout is to end.
+ * Puts back into use the endpoints that this node took out and discards its
+ * state, because another node may hold the key now or the rollout is to end.
  */
 void rollout_let_go(struct rollout *rollout, int64_t now_us, GArray *effects)
 {
 	for (guint i = 0; i < rollout->endpoints->len; i++) {
-		struct rollout_endpoint *endpoint = rollout_get(rollout, i);
+		struct rollout_endpoint *endpoint =
+			rollout_get_endpoint(rollout, i);
 
-		rollout_put_in(rollout, endpoint, effects);
+		rollout_put_back(rollout, endpoint, effects);
 		rollout_endpoint_set_state(endpoint, ENDPOINT_UNREAD, now_us);
-		endpoint->orders = 0;
+		endpoint->orders_sent = 0;
 	}
 	rollout->fence = 0;
 	rollout->loaded = false;
@@ -299,16 +321,20 @@
 	rollout_state_init(&rollout->state);
 }
 
-/* What was begun is finished also after a stop; nothing more is begun. */
+/*
+ * Steps every endpoint. After a stop, endpoints that are still draining are put
+ * back into use, and those that were already ordered are finished.
+ */
 static void step_endpoints(struct rollout *rollout, int64_t now_us,
 			   GArray *effects)
 {
 	for (guint i = 0; i < rollout->endpoints->len; i++) {
-		struct rollout_endpoint *endpoint = rollout_get(rollout, i);
+		struct rollout_endpoint *endpoint =
+			rollout_get_endpoint(rollout, i);
 
 		if (rollout->state.phase == ROLLOUT_STOPPED &&
 		    endpoint->state == ENDPOINT_DRAINING) {
-			rollout_put_in(rollout, endpoint, effects);
+			rollout_put_back(rollout, endpoint, effects);
 			rollout_endpoint_set_state(endpoint, ENDPOINT_WAITING,
 						   now_us);
 		}
@@ -316,22 +342,28 @@
 	}
 }
 
-/* A service may have a thousand endpoints; they are not all read at once. */
+/*
+ * Schedules the first read of each endpoint. The reads are spaced out, since a
+ * service may have a thousand endpoints.
+ */
 static void rollout_begin_reading(struct rollout *rollout, int64_t now_us)
 {
 	for (guint i = 0; i < rollout->endpoints->len; i++)
 		rollout_endpoint_set_state(
-			rollout_get(rollout, i), ENDPOINT_UNREAD,
+			rollout_get_endpoint(rollout, i), ENDPOINT_UNREAD,
 			now_us + (int64_t)i * ROLLOUT_READ_SPACING_US);
 }
 
-/* Appends what is to be done now: calls, and struct rollout_effect. */
+/*
+ * Advances the rollout. Appends calls to the key-value service to actions, and
+ * elements of type struct rollout_effect to effects.
+ */
 void rollout_step(struct rollout *rollout, int64_t now_us,
 		  struct action_list *actions, GArray *effects)
 {
 	int64_t fence = holder_fence(rollout->holder);
 
-	rollout->stepped_us = now_us;
+	rollout->last_step_us = now_us;
 	if (rollout->fence && rollout->fence != fence)
 		rollout_let_go(rollout, now_us, effects);
 	if (!fence)
@@ -352,7 +384,10 @@
 	rollout_store_step(rollout, now_us, actions);
 }
 
-/* When rollout_step() has something to do; INT64_MAX: when it is told more. */
+/*
+ * Returns the time in us at which rollout_step() next has something to do, or
+ * INT64_MAX if it has nothing to do before another event arrives.
+ */
 int64_t rollout_next_due_us(const struct rollout *rollout)
 {
 	int64_t due_us = INT64_MAX;
@@ -363,11 +398,12 @@
 		due_us = rollout->kv_due_us;
 	if (!rollout->loaded)
 		return due_us;
-	if (rollout->begin_us > rollout->stepped_us)
-		due_us = MIN(due_us, rollout->begin_us);
+	if (rollout->batches_from_us > rollout->last_step_us)
+		due_us = MIN(due_us, rollout->batches_from_us);
 	for (guint i = 0; i < rollout->endpoints->len; i++)
 		due_us = MIN(due_us, rollout_endpoint_due_us(
-					     rollout, rollout_get(rollout, i)));
+					     rollout,
+					     rollout_get_endpoint(rollout, i)));
 	if (rollout->state.phase == ROLLOUT_DONE)
 		due_us = MIN(due_us, rollout->next_verify_us);
 	return due_us;
--- a/core/rollout/rollout.h
+++ b/core/rollout/rollout.h
@@ -13,16 +13,18 @@
 G_BEGIN_DECLS
 
 /*
- * Carries one confirmed rollout forward while this node holds its key: takes
- * endpoints out of use in batches of one failure domain, waits for their
- * streams to finish, orders the new target, reads back until it is there and
- * puts them into use again. What runs where is read from the endpoints, so a
- * new holder goes on from there; only failures and the end are stored.
+ * Carries out one confirmed rollout while this node holds the key. It takes
+ * endpoints out of use in batches within one failure domain, waits for their
+ * streams to finish, orders the new target, reads the endpoints until they run
+ * it and puts them back into use. What each endpoint runs is read from the
+ * endpoint, so a new holder can continue; only the phase, the reason for a stop
+ * and the failed endpoints are stored.
  *
- * Orders are target states and can be repeated. An endpoint that checks the
- * fencing number refuses a paused holder's late order. For one that does not,
- * a new holder waits out the longest order before its first, and goes on
- * reading back after the end, correcting what a late order changed.
+ * An order names a target and can be repeated safely. An endpoint that checks
+ * the fencing number refuses a late order of a paused holder. For an endpoint
+ * that does not check it, a new holder waits as long as an order may be in
+ * flight before it sends its first one, and keeps reading back after the end to
+ * correct what a late order changed.
  */
 struct rollout_endpoint_spec {
 	const char *address;
@@ -31,32 +33,34 @@
 };
 
 struct rollout_options {
-	const char *id; /* the plan that it was confirmed with */
+	const char *id; /* of the plan that confirmed the rollout */
 	const char *target;
 	const struct rollout_endpoint_spec *endpoints; /* copied */
 	size_t endpoint_count;
-	int32_t max_parallel;	   /* out of use at once */
-	int32_t min_ready_percent; /* of the endpoints, in use at all times */
-	int32_t max_failures;	   /* stops above */
+	int32_t max_parallel;	   /* endpoints out of use at once */
+	int32_t min_ready_percent; /* of all endpoints, kept in use */
+	int32_t max_failures;	   /* stops when exceeded */
 
 	uint64_t *next_kv_id;
 	struct counters *counters; /* may be NULL */
 	int64_t kv_timeout_us;
-	int64_t order_timeout_us;  /* longest way of an order */
-	int64_t order_interval_us; /* between orders: the weight store */
+	int64_t order_timeout_us; /* longest time an order is in flight */
+	/* Between orders: limits the load on the weight store. */
+	int64_t order_interval_us;
 	int64_t read_interval_us;
-	int64_t settle_us; /* from taking out until all nodes know */
-	int64_t return_us; /* from putting in until all nodes know */
+	/* From taking out or putting back until all nodes know. */
+	int64_t take_out_propagation_us;
+	int64_t return_us;
 	int64_t drain_timeout_us;
 	int64_t load_timeout_us;
-	int64_t verify_interval_us; /* after the end, one endpoint each */
+	int64_t verify_interval_us; /* after the end, between two reads */
 };
 
 enum rollout_effect_type {
-	ROLLOUT_TAKE_OUT, /* no new work for this endpoint */
-	ROLLOUT_PUT_IN,	  /* into use again */
-	ROLLOUT_READ,	  /* ask for its target and requests */
-	ROLLOUT_ORDER
+	ROLLOUT_TAKE_OUT, /* send no new requests to the endpoint */
+	ROLLOUT_PUT_IN,	  /* put the endpoint back into use */
+	ROLLOUT_READ,	  /* read its target and running requests */
+	ROLLOUT_ORDER	  /* order it to load the target */
 };
 
 struct rollout_effect {
--- a/core/rollout/rollout_endpoint.c
+++ b/core/rollout/rollout_endpoint.c
@@ -2,17 +2,17 @@
 
 #include <string.h>
 
-/* Enters a state, whose first read is due at once. */
+/* Enters a state; the first read in it is due at now_us. */
 void rollout_endpoint_set_state(struct rollout_endpoint *endpoint,
 				enum endpoint_state state, int64_t now_us)
 {
 	endpoint->state = state;
-	endpoint->since_us = now_us;
-	endpoint->read_us = now_us;
-	endpoint->idle = false;
+	endpoint->state_since_us = now_us;
+	endpoint->next_read_us = now_us;
+	endpoint->drained = false;
 }
 
-/* Has no new work sent to an endpoint. */
+/* Takes an endpoint out of use, so that no new requests are sent to it. */
 void rollout_take_out(const struct rollout *rollout,
 		      struct rollout_endpoint *endpoint, GArray *effects)
 {
@@ -22,21 +22,22 @@
 	rollout_add_effect(rollout, effects, ROLLOUT_TAKE_OUT, endpoint);
 }
 
-/* Puts an endpoint that was taken out into use again. */
-void rollout_put_in(const struct rollout *rollout,
-		    struct rollout_endpoint *endpoint, GArray *effects)
+/* Puts an endpoint that was taken out back into use. */
+void rollout_put_back(const struct rollout *rollout,
+		      struct rollout_endpoint *endpoint, GArray *effects)
 {
 	if (!endpoint->out_of_use)
 		return;
 	endpoint->out_of_use = false;
-	endpoint->returned_us =
-		rollout->stepped_us + rollout->options.return_us;
+	endpoint->returning_until_us =
+		rollout->last_step_us + rollout->options.return_us;
 	rollout_add_effect(rollout, effects, ROLLOUT_PUT_IN, endpoint);
 }
 
 /*
- * A failure is stored before the next batch, so that the limit holds over
- * holders. The endpoint stays out of use: what it runs is in doubt.
+ * Marks an endpoint as failed. The failure is stored before the next batch
+ * begins, so that the limit on failures holds across a change of holder. The
+ * endpoint is then kept out of use, since it is uncertain what it runs.
  */
 static void rollout_fail_endpoint(struct rollout *rollout,
 				  struct rollout_endpoint *endpoint,
@@ -65,9 +66,10 @@
 }
 
 /*
- * An order is sent only while the lease outlasts it. To an endpoint that does
- * not check the number, the holder before may have sent its last order just
- * as its lease ended: the first order waits until that one must have arrived.
+ * Returns whether an order may be sent. The lease must outlast the order. The
+ * previous holder may have sent its last order just as its lease ended, so for
+ * an endpoint that does not check the fencing number, the first order waits
+ * until that one must have arrived.
  */
 static bool may_order(const struct rollout *rollout,
 		      const struct rollout_endpoint *endpoint, int64_t now_us)
@@ -85,7 +87,7 @@
 		       struct rollout_endpoint *endpoint, int64_t now_us,
 		       GArray *effects)
 {
-	endpoint->orders++;
+	endpoint->orders_sent++;
 	rollout_endpoint_set_state(endpoint, ENDPOINT_ORDERED, now_us);
 	rollout->next_order_us = now_us + rollout->options.order_interval_us;
 	rollout_add_effect(rollout, effects, ROLLOUT_ORDER, endpoint);
@@ -95,9 +97,9 @@
 			struct rollout_endpoint *endpoint, int64_t now_us,
 			GArray *effects)
 {
-	if (now_us < endpoint->read_us)
+	if (now_us < endpoint->next_read_us)
 		return;
-	endpoint->read_us = now_us + rollout->options.read_interval_us;
+	endpoint->next_read_us = now_us + rollout->options.read_interval_us;
 	rollout_add_effect(rollout, effects, ROLLOUT_READ, endpoint);
 }
 
@@ -105,12 +107,12 @@
 			  struct rollout_endpoint *endpoint, int64_t now_us,
 			  GArray *effects)
 {
-	if (endpoint->idle) {
+	if (endpoint->drained) {
 		if (may_order(rollout, endpoint, now_us))
 			send_order(rollout, endpoint, now_us, effects);
-	} else if (now_us - endpoint->since_us >=
+	} else if (now_us - endpoint->state_since_us >=
 		   rollout->options.drain_timeout_us) {
-		rollout_put_in(rollout, endpoint, effects);
+		rollout_put_back(rollout, endpoint, effects);
 		rollout_fail_endpoint(rollout, endpoint,
 				      "did not finish its requests", now_us);
 	} else {
@@ -118,12 +120,12 @@
 	}
 }
 
-/* Does what one endpoint's state asks for now. */
+/* Carries out what is due in the endpoint's state. */
 void rollout_endpoint_step(struct rollout *rollout,
 			   struct rollout_endpoint *endpoint, int64_t now_us,
 			   GArray *effects)
 {
-	int64_t waited_us = now_us - endpoint->since_us;
+	int64_t waited_us = now_us - endpoint->state_since_us;
 
 	switch (endpoint->state) {
 	case ENDPOINT_UNREAD:
@@ -151,7 +153,7 @@
 			read_if_due(rollout, endpoint, now_us, effects);
 		break;
 	case ENDPOINT_READY:
-		rollout_put_in(rollout, endpoint, effects);
+		rollout_put_back(rollout, endpoint, effects);
 		break;
 	case ENDPOINT_FAILED:
 		rollout_take_out(rollout, endpoint, effects);
@@ -162,8 +164,8 @@
 }
 
 /*
- * When an order may go out; INT64_MAX if it could have and the lease does not
- * last: the renewal's answer brings the next step.
+ * Returns when an order may be sent. INT64_MAX means that only the remaining
+ * time of the lease prevents it: the answer to the renewal triggers a step.
  */
 static int64_t order_due_us(const struct rollout *rollout,
 			    const struct rollout_endpoint *endpoint)
@@ -173,30 +175,33 @@
 	if (!endpoint->checks_fence)
 		due_us = MAX(due_us, rollout->held_since_us +
 					     rollout->options.order_timeout_us);
-	return due_us <= rollout->stepped_us ? INT64_MAX : due_us;
+	return due_us <= rollout->last_step_us ? INT64_MAX : due_us;
 }
 
-/* When an endpoint has something to do; INT64_MAX: when more is told. */
+/*
+ * Returns the time in us at which an endpoint next has something to do, or
+ * INT64_MAX if it has nothing to do before another event arrives.
+ */
 int64_t rollout_endpoint_due_us(const struct rollout *rollout,
 				const struct rollout_endpoint *endpoint)
 {
 	switch (endpoint->state) {
 	case ENDPOINT_DRAINING:
-		return endpoint->idle ? order_due_us(rollout, endpoint)
-				      : endpoint->read_us;
+		return endpoint->drained ? order_due_us(rollout, endpoint)
+					 : endpoint->next_read_us;
 	case ENDPOINT_ORDERED:
-		return endpoint->since_us +
+		return endpoint->state_since_us +
 		       2 * rollout->options.order_timeout_us;
 	case ENDPOINT_UNREAD:
 	case ENDPOINT_LOADING:
-		return endpoint->read_us;
+		return endpoint->next_read_us;
 	case ENDPOINT_WAITING:
 	case ENDPOINT_READY:
 	case ENDPOINT_FAILED:
 		break;
 	}
-	if (endpoint->returned_us > rollout->stepped_us)
-		return endpoint->returned_us;
+	if (endpoint->returning_until_us > rollout->last_step_us)
+		return endpoint->returning_until_us;
 	return INT64_MAX;
 }
 
@@ -207,26 +212,29 @@
 }
 
 /*
- * The target is not there although it was ordered: the order was lost, or an
- * earlier holder's late one came after it. It is ordered again, a few times.
+ * Handles a reading in which the endpoint does not run the target. If that was
+ * ordered before, the order was lost, or a late order of an earlier holder
+ * arrived after it. The target is ordered again, with at most
+ * ROLLOUT_MAX_ORDERS orders in one batch.
  */
-static void read_other_target(struct rollout *rollout,
-			      struct rollout_endpoint *endpoint,
-			      const struct event_order_state *reading,
-			      int64_t now_us)
+static void handle_other_target(struct rollout *rollout,
+				struct rollout_endpoint *endpoint,
+				const struct event_order_state *reading,
+				int64_t now_us)
 {
 	switch (endpoint->state) {
 	case ENDPOINT_DRAINING:
-		endpoint->idle = reading->requests_running == 0 &&
-				 now_us - endpoint->since_us >=
-					 rollout->options.settle_us;
+		endpoint->drained =
+			reading->requests_running == 0 &&
+			now_us - endpoint->state_since_us >=
+				rollout->options.take_out_propagation_us;
 		break;
 	case ENDPOINT_LOADING:
 		if (reading->loading ||
-		    now_us - endpoint->since_us <
+		    now_us - endpoint->state_since_us <
 			    2 * rollout->options.order_timeout_us)
 			break;
-		if (endpoint->orders >= ROLLOUT_MAX_ORDERS) {
+		if (endpoint->orders_sent >= ROLLOUT_MAX_ORDERS) {
 			rollout_fail_endpoint(rollout, endpoint,
 					      "does not keep the target",
 					      now_us);
@@ -247,18 +255,21 @@
 	}
 }
 
-/* What an endpoint that was read has said of itself. */
+/*
+ * Handles the answer to a read of an endpoint. Ignores unknown endpoints and
+ * reads that got no answer.
+ */
 void rollout_order_state(struct rollout *rollout,
 			 const struct event_order_state *reading,
 			 int64_t now_us)
 {
 	struct rollout_endpoint *endpoint =
-		rollout_find(rollout, reading->endpoint);
+		rollout_find_endpoint(rollout, reading->endpoint);
 
 	if (!endpoint || !reading->target || !rollout->fence)
 		return;
 	if (strcmp(reading->target, rollout->target) != 0) {
-		read_other_target(rollout, endpoint, reading, now_us);
+		handle_other_target(rollout, endpoint, reading, now_us);
 		return;
 	}
 	if (endpoint->state != ENDPOINT_FAILED &&
@@ -266,12 +277,15 @@
 		rollout_endpoint_set_state(endpoint, ENDPOINT_READY, now_us);
 }
 
-/* What became of an order; where that is not known, reading back tells. */
+/*
+ * Handles the outcome of an order. If the answer was lost, reading the endpoint
+ * back shows whether the order took effect.
+ */
 void rollout_order(struct rollout *rollout, const struct event_order *order,
 		   int64_t now_us)
 {
 	struct rollout_endpoint *endpoint =
-		rollout_find(rollout, order->endpoint);
+		rollout_find_endpoint(rollout, order->endpoint);
 
 	if (!endpoint || !is_ordering(endpoint) || !rollout->fence)
 		return;
--- a/core/rollout/rollout_internal.h
+++ b/core/rollout/rollout_internal.h
@@ -6,12 +6,12 @@
 G_BEGIN_DECLS
 
 /*
- * The rollout's state and the functions its parts call in one another. Private
- * to core/rollout/:
+ * State of a rollout and the functions shared by its source files. Private to
+ * core/rollout/:
  *
- *   rollout.c           life, batches, checks after the end
- *   rollout_endpoint.c  one endpoint: drained, ordered, read back
- *   rollout_store.c     what is kept in the key-value service
+ *   rollout.c           creation, batches, checks after the end
+ *   rollout_endpoint.c  draining, ordering and reading back one endpoint
+ *   rollout_store.c     the state in the key-value service
  */
 
 enum {
@@ -22,11 +22,11 @@
 };
 
 enum endpoint_state {
-	ENDPOINT_UNREAD,  /* not known what it runs */
-	ENDPOINT_WAITING, /* runs something else */
+	ENDPOINT_UNREAD,  /* its target has not been read yet */
+	ENDPOINT_WAITING, /* runs another target */
 	ENDPOINT_DRAINING,
 	ENDPOINT_ORDERED, /* order in flight */
-	ENDPOINT_LOADING, /* order taken, or its answer lost */
+	ENDPOINT_LOADING, /* order accepted, or its answer lost */
 	ENDPOINT_READY,
 	ENDPOINT_FAILED
 };
@@ -36,12 +36,12 @@
 	char *failure_domain;
 	bool checks_fence;
 	enum endpoint_state state;
-	int64_t since_us; /* in this state */
-	int64_t read_us;  /* next read */
-	bool idle;	  /* drained: may be ordered */
+	int64_t state_since_us; /* when it entered the state */
+	int64_t next_read_us;	/* when it is next read */
+	bool drained;		/* has no requests: may be ordered */
 	bool out_of_use;
-	int64_t returned_us; /* until then some nodes may still spare it */
-	int orders;
+	int64_t returning_until_us; /* some nodes may avoid it until then */
+	int orders_sent;
 };
 
 struct rollout {
@@ -50,29 +50,30 @@
 	char *target;
 	char *key;
 	struct holder *holder;
-	GPtrArray *endpoints; /* struct rollout_endpoint, by failure domain */
+	GPtrArray *endpoints; /* struct rollout_endpoint, sorted by domain */
 
-	int64_t stepped_us; /* last rollout_step() */
-	int64_t fence;	    /* under which the fields below hold; 0: none */
+	int64_t last_step_us; /* time of the last rollout_step() */
+	int64_t fence;	      /* the fields below belong to it; 0: none */
 	int64_t held_since_us;
-	int64_t begin_us; /* no batch before */
+	int64_t batches_from_us; /* no batch begins before */
 	int64_t next_order_us;
 	int64_t next_verify_us;
-	size_t next_verify;
+	size_t next_verify_index;
 
 	struct rollout_state state;
 	int64_t stored_revision;
-	bool loaded;	/* the stored state has been read under this fence */
-	bool stale;	/* and must be again before it is written */
-	bool dirty;	/* it differs from the one here */
-	uint64_t kv_id; /* reading or writing it; 0: none */
+	bool loaded;	/* stored state has been read under this fence */
+	bool stale;	/* must be read again before a write */
+	bool dirty;	/* differs from the stored state */
+	uint64_t kv_id; /* read or write in flight; 0: none */
 	bool kv_is_write;
 	int64_t kv_due_us;
 };
 
-struct rollout_endpoint *rollout_get(const struct rollout *rollout, size_t i);
-struct rollout_endpoint *rollout_find(const struct rollout *rollout,
-				      const char *address);
+struct rollout_endpoint *rollout_get_endpoint(const struct rollout *rollout,
+					      size_t i);
+struct rollout_endpoint *rollout_find_endpoint(const struct rollout *rollout,
+					       const char *address);
 void rollout_add_effect(const struct rollout *rollout, GArray *effects,
 			enum rollout_effect_type type,
 			const struct rollout_endpoint *endpoint);
@@ -83,8 +84,8 @@
 				enum endpoint_state state, int64_t now_us);
 void rollout_take_out(const struct rollout *rollout,
 		      struct rollout_endpoint *endpoint, GArray *effects);
-void rollout_put_in(const struct rollout *rollout,
-		    struct rollout_endpoint *endpoint, GArray *effects);
+void rollout_put_back(const struct rollout *rollout,
+		      struct rollout_endpoint *endpoint, GArray *effects);
 void rollout_endpoint_step(struct rollout *rollout,
 			   struct rollout_endpoint *endpoint, int64_t now_us,
 			   GArray *effects);
--- a/core/rollout/rollout_json.c
+++ b/core/rollout/rollout_json.c
@@ -13,13 +13,13 @@
 	[ROLLOUT_STOPPED] = "stopped",
 };
 
-/* Name of a phase, as it is stored. */
+/* Returns the name of a phase as it is stored. */
 const char *rollout_phase_name(enum rollout_phase phase)
 {
 	return phase_names[phase];
 }
 
-/* A rollout that runs and has had no failure. */
+/* Sets a running state without failures; free with rollout_state_clear(). */
 void rollout_state_init(struct rollout_state *state)
 {
 	state->phase = ROLLOUT_RUNNING;
@@ -27,7 +27,7 @@
 	state->reason = g_strdup("");
 }
 
-/* Frees what a state holds, not the struct itself. */
+/* Frees the contents of a state but not the struct. */
 void rollout_state_clear(struct rollout_state *state)
 {
 	g_clear_pointer(&state->failed, g_ptr_array_unref);
@@ -63,7 +63,11 @@
 	}
 }
 
-/* Reads a state that is to be cleared; false: ERROR_INVALID and all empty. */
+/*
+ * Parses a stored state. The caller frees it with rollout_state_clear() in
+ * either case. Returns false with ERROR_INVALID or ERROR_TOO_LARGE; the state
+ * is then as after rollout_state_init().
+ */
 bool rollout_json_parse(GBytes *document, struct rollout_state *state,
 			struct error *error)
 {
@@ -92,7 +96,7 @@
 	return ok;
 }
 
-/* The state as stored. */
+/* Formats a state as it is stored. The caller owns the bytes. */
 GBytes *rollout_json_format(const struct rollout_state *state)
 {
 	JsonBuilder *builder = json_builder_new();
--- a/core/rollout/rollout_json.h
+++ b/core/rollout/rollout_json.h
@@ -9,14 +9,14 @@
 
 G_BEGIN_DECLS
 
-/* What of a rollout outlives its holder, as kept in the key-value service. */
+/* State of a rollout in the key-value service, which a new holder reads. */
 
 enum rollout_phase { ROLLOUT_RUNNING, ROLLOUT_DONE, ROLLOUT_STOPPED };
 
 struct rollout_state {
 	enum rollout_phase phase;
-	GPtrArray *failed; /* char *: addresses, each an error */
-	char *reason;	   /* why it stopped, else "" */
+	GPtrArray *failed; /* char *: addresses of failed endpoints */
+	char *reason;	   /* why it stopped, or "" */
 };
 
 void rollout_state_init(struct rollout_state *state);
--- a/core/rollout/rollout_store.c
+++ b/core/rollout/rollout_store.c
@@ -24,7 +24,10 @@
 		counters_add(rollout->options.counters, COUNTER_KV_CALLS, 1);
 }
 
-/* Reads the stored state as a new holder, and writes it when it differs. */
+/*
+ * Reads the stored state after this node became the holder, and writes it when
+ * the local state differs. At most one call is in flight.
+ */
 void rollout_store_step(struct rollout *rollout, int64_t now_us,
 			struct action_list *actions)
 {
@@ -39,7 +42,8 @@
 static void mark_failed(struct rollout *rollout, const char *address,
 			int64_t now_us)
 {
-	struct rollout_endpoint *endpoint = rollout_find(rollout, address);
+	struct rollout_endpoint *endpoint =
+		rollout_find_endpoint(rollout, address);
 
 	if (endpoint && endpoint->state != ENDPOINT_FAILED)
 		rollout_endpoint_set_state(endpoint, ENDPOINT_FAILED, now_us);
@@ -49,8 +53,8 @@
 }
 
 /*
- * Takes over what an earlier holder has stored. Failures of both count, and
- * one that has stopped stays stopped.
+ * Merges the state that an earlier holder stored. The failures of both holders
+ * count, and a rollout that has stopped stays stopped.
  */
 static void merge_stored(struct rollout *rollout, const struct kv_entry *entry,
 			 int64_t now_us)
@@ -77,11 +81,12 @@
 }
 
 /*
- * Where there is a stored state, an earlier holder may have taken endpoints
- * out, and its word may still be about: no batch begins before it has ended.
+ * Handles the answer to reading the stored state. If there is one, an earlier
+ * holder may have taken endpoints out of use, and its announcements may still
+ * be in effect: no batch begins before they have expired.
  */
-static void on_loaded(struct rollout *rollout, const struct kv_answer *answer,
-		      int64_t now_us)
+static void handle_stored_state(struct rollout *rollout,
+				const struct kv_answer *answer, int64_t now_us)
 {
 	if (answer->outcome == KV_NOT_FOUND) {
 		rollout->stored_revision = 0;
@@ -91,7 +96,8 @@
 	} else if (answer->outcome == KV_OK && answer->entries &&
 		   answer->entries->len) {
 		if (!rollout->loaded)
-			rollout->begin_us = now_us + rollout->options.return_us;
+			rollout->batches_from_us =
+				now_us + rollout->options.return_us;
 		rollout->loaded = true;
 		rollout->stale = false;
 		merge_stored(rollout, g_ptr_array_index(answer->entries, 0),
@@ -102,9 +108,9 @@
 }
 
 /*
- * Takes the answer to reading or writing the stored state; false: it is
- * another's. After a lost answer or a conflict the state is read again, and
- * written again if it then still differs.
+ * Handles the answer to a read or write of the stored state. Returns false if
+ * the answer belongs to another caller. After a lost answer or a conflict, the
+ * state is read again, and written again if it still differs.
  */
 bool rollout_kv(struct rollout *rollout, const struct kv_answer *answer,
 		int64_t now_us)
@@ -113,7 +119,7 @@
 		return false;
 	rollout->kv_id = 0;
 	if (!rollout->kv_is_write) {
-		on_loaded(rollout, answer, now_us);
+		handle_stored_state(rollout, answer, now_us);
 		return true;
 	}
 	if (answer->outcome == KV_OK) {
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -21,12 +21,12 @@
 	std::string target = "v1";
 	std::string loading; /* becomes the target at ready_us */
 	int64_t ready_us = 0;
-	int64_t busy_until_us = 0; /* has requests until then */
-	int64_t fence = 0;	   /* highest seen */
+	int64_t busy_until_us = 0; /* runs requests until then */
+	int64_t fence = 0;	   /* highest number received */
 	bool dead = false;
 	bool dies_loading = false;
 	int orders = 0;
-	int ordered_busy = 0; /* orders that cut requests */
+	int orders_while_busy = 0; /* orders that interrupted requests */
 };
 
 struct order {
@@ -35,25 +35,25 @@
 	int64_t fence;
 };
 
-class world;
+class cluster;
 
-/* One node: a holder and a rollout, driven in virtual time. */
+/* A node with a holder and a rollout, driven in virtual time. */
 class node
 {
       public:
-	node(world *w, const char *name, const char *target);
+	node(cluster *w, const char *name, const char *target);
 	~node();
 	void step();
 	int64_t due_us() const;
 
-	world *w;
+	cluster *w;
 	std::string target;
 	bool alive = true;
 	bool paused = false;
-	bool hold_orders = false; /* its orders stay on their way */
-	bool lose_orders = false; /* taken, their answers lost */
+	bool delay_orders = false;	 /* its orders stay in flight */
+	bool lose_order_answers = false; /* orders arrive, answers are lost */
 	bool kv_down = false;
-	bool kv_loses = false;
+	bool lose_next_write_answer = false;
 	std::vector<order> late;
 	struct holder *holder;
 	struct rollout *rollout;
@@ -67,10 +67,10 @@
 	void read(const char *address);
 };
 
-class world
+class cluster
 {
       public:
-	world() : model(kv_model_create())
+	cluster() : model(kv_model_create())
 	{
 		for (int i = 0; i < 8; i++) {
 			std::string address = "e" + std::to_string(i) + ":1";
@@ -82,7 +82,7 @@
 		}
 	}
 
-	~world()
+	~cluster()
 	{
 		for (auto *n : nodes)
 			delete n;
@@ -95,7 +95,7 @@
 		return nodes.back();
 	}
 
-	/* Runs in steps of 100 ms, and checks what must hold in each. */
+	/* Runs in steps of 100 ms and checks the limit out of use in each. */
 	bool run_until(const std::function<bool()> &done,
 		       int64_t limit_us = 600 * SECOND)
 	{
@@ -105,7 +105,7 @@
 			if (now_us >= end_us)
 				return false;
 			now_us += 100 * MS;
-			settle_engines();
+			finish_loading();
 			kv_model_step(model, now_us);
 			for (auto *n : nodes)
 				n->step();
@@ -119,7 +119,7 @@
 		run_until([] { return false; }, us);
 	}
 
-	enum order_outcome take(const order &o)
+	enum order_outcome deliver(const order &o)
 	{
 		engine &e = engines[o.address];
 
@@ -129,7 +129,7 @@
 			return ORDER_STALE;
 		e.fence = std::max(e.fence, o.fence);
 		e.orders++;
-		e.ordered_busy += now_us < e.busy_until_us;
+		e.orders_while_busy += now_us < e.busy_until_us;
 		e.dead = e.dies_loading;
 		if (e.target != o.target) {
 			e.loading = o.target;
@@ -147,27 +147,27 @@
 		return true;
 	}
 
-	/* Endpoints that some node spares; words of them last 30 s. */
+	/* Endpoints that some node avoids; announcements of them last 30 s. */
 	int out_of_use() const
 	{
 		int count = 0;
 
-		for (const auto &o : out) {
-			auto spared = spared_until.find(o.first);
+		for (const auto &o : taken_out) {
+			auto avoided = avoided_until.find(o.first);
 
-			count +=
-				o.second > 0 || (spared != spared_until.end() &&
-						 spared->second > now_us);
+			count += o.second > 0 ||
+				 (avoided != avoided_until.end() &&
+				  avoided->second > now_us);
 		}
 		return count;
 	}
 
-	/* What a node that is gone has said is repeated no more. */
-	void forget_words()
+	/* The announcements of a dead or paused node are no longer repeated. */
+	void expire_announcements()
 	{
-		for (auto &o : out) {
+		for (auto &o : taken_out) {
 			if (o.second > 0)
-				spared_until[o.first] = now_us + 30 * SECOND;
+				avoided_until[o.first] = now_us + 30 * SECOND;
 			o.second = 0;
 		}
 	}
@@ -175,14 +175,14 @@
 	struct kv_model *model;
 	int64_t now_us = 1000 * SECOND;
 	std::map<std::string, engine> engines;
-	std::map<std::string, int> out; /* nodes that took it out */
-	std::map<std::string, int64_t> spared_until;
+	std::map<std::string, int> taken_out; /* by how many nodes */
+	std::map<std::string, int64_t> avoided_until;
 	std::vector<node *> nodes;
 	std::string transcript;
 	int max_out = 2;
 
       private:
-	void settle_engines()
+	void finish_loading()
 	{
 		for (auto &e : engines) {
 			if (!e.second.dead && !e.second.loading.empty() &&
@@ -194,7 +194,7 @@
 	}
 };
 
-node::node(world *w, const char *name, const char *target)
+node::node(cluster *w, const char *name, const char *target)
     : w(w), target(target)
 {
 	struct holder_options held = {};
@@ -241,8 +241,8 @@
 	if (!alive || paused)
 		return;
 	/*
-	 * As in a node, a step may come before it is due. Each may make the
-	 * next one due; it must come to rest.
+	 * As in a real node, the first step may come before it is due. Each
+	 * step may make the next one due, but that must end within 100 steps.
 	 */
 	for (int i = 0; i == 0 || (i < 100 && due_us() <= w->now_us); i++) {
 		struct action_list *actions = action_list_create();
@@ -273,13 +273,14 @@
 		if (!kv_down)
 			kv_model_answer(w->model, &action->kv, w->now_us,
 					&answer);
-		if (kv_down || (kv_loses && action->kv.op == KV_CAS)) {
+		if (kv_down ||
+		    (lose_next_write_answer && action->kv.op == KV_CAS)) {
 			kv_answer_clear(&answer);
 			answer = {};
 			answer.id = action->kv.id;
 			answer.op = action->kv.op;
 			answer.outcome = KV_ANSWER_LOST;
-			kv_loses = false;
+			lose_next_write_answer = false;
 		}
 		EXPECT_TRUE(holder_kv(holder, &answer, w->now_us, next) ||
 			    rollout_kv(rollout, &answer, w->now_us));
@@ -292,9 +293,9 @@
 
 void node::send(const order &o)
 {
-	enum order_outcome outcome = w->take(o);
+	enum order_outcome outcome = w->deliver(o);
 
-	if (lose_orders)
+	if (lose_order_answers)
 		outcome = ORDER_LOST;
 	struct event_order event = {o.address.c_str(), outcome};
 
@@ -324,18 +325,18 @@
 					 " " + effect->address + "\n";
 		switch (effect->type) {
 		case ROLLOUT_TAKE_OUT:
-			w->out[effect->address]++;
+			w->taken_out[effect->address]++;
 			break;
 		case ROLLOUT_PUT_IN:
-			w->out[effect->address]--;
-			w->spared_until[effect->address] =
+			w->taken_out[effect->address]--;
+			w->avoided_until[effect->address] =
 				w->now_us + 30 * SECOND;
 			break;
 		case ROLLOUT_READ:
 			read(effect->address);
 			break;
 		case ROLLOUT_ORDER:
-			if (hold_orders)
+			if (delay_orders)
 				late.push_back({effect->address, target,
 						effect->fence});
 			else
@@ -354,7 +355,7 @@
 
 TEST(Rollout, GoesThroughFailureDomainsInBatches)
 {
-	world w;
+	cluster w;
 	node *n = w.add("n1");
 
 	ASSERT_TRUE(w.run_until([&] { return is_done(n); }));
@@ -371,40 +372,41 @@
 }
 
 /*
- * An endpoint still serves a report when its turn comes. It gets no new work
- * and is ordered only when the report is whole; one that never gets done is a
- * failure and is not ordered at all.
+ * Guards against an order that interrupts requests. An endpoint that is busy
+ * when its batch begins is ordered only when its requests have finished. One
+ * that does not finish in time is a failure and is never ordered.
  */
 TEST(Rollout, WaitsForRequestsToFinish)
 {
-	world w;
+	cluster w;
 	node *n = w.add("n1");
 
 	w.engines["e0:1"].busy_until_us = w.now_us + 40 * SECOND;
 	w.engines["e1:1"].busy_until_us = w.now_us + 4000 * SECOND;
 	ASSERT_TRUE(w.run_until([&] { return is_done(n); }));
 	for (const auto &e : w.engines)
-		EXPECT_EQ(0, e.second.ordered_busy) << e.first;
+		EXPECT_EQ(0, e.second.orders_while_busy) << e.first;
 	EXPECT_EQ("v2", w.engines["e0:1"].target);
 	EXPECT_EQ("v1", w.engines["e1:1"].target);
-	EXPECT_EQ(1, w.out["e1:1"]);
+	EXPECT_EQ(1, w.taken_out["e1:1"]);
 }
 
 /*
- * The holder dies at each step of the way, together with what it remembers.
- * Another node takes the key when the lease has lapsed, reads what runs where
- * and goes on; nothing is ordered that has the target already.
+ * Guards against a rollout that cannot be continued after the holder died, at
+ * any time in its course, with its state in memory lost. Another node claims
+ * the key when the lease has expired, reads what each endpoint runs and
+ * continues. It does not order an endpoint that already runs the target.
  */
 TEST(Rollout, NewHolderGoesOnWhereverTheOldOneDied)
 {
 	for (int64_t at_us = 0; at_us < 200 * SECOND; at_us += 2 * SECOND) {
-		world w;
+		cluster w;
 		node *first = w.add("n1");
 		node *second;
 
 		w.run(at_us);
 		first->alive = false;
-		w.forget_words();
+		w.expire_announcements();
 		second = w.add("n2");
 		ASSERT_TRUE(w.run_until([&] { return is_done(second); }));
 		EXPECT_TRUE(w.all_run("v2")) << at_us;
@@ -416,26 +418,27 @@
 }
 
 /*
- * The holder is paused with an order on its way, for longer than its lease.
- * Meanwhile a new holder rolls out the next version. The old order arrives at
- * an engine that checks the number: it is refused, the engine keeps the new
- * target, and the old holder, when it wakes, stops.
+ * Guards against a late order that undoes a newer rollout. The holder is paused
+ * for longer than its lease with an order in flight, while a new holder rolls
+ * out the next version. An engine that checks the fencing number refuses the
+ * late order and keeps the new target, and the old holder then gives up the
+ * key.
  */
 TEST(Rollout, LateOrderIsRefusedByItsNumber)
 {
-	world w;
+	cluster w;
 	node *paused = w.add("n1", "v2");
 	node *holder;
 	struct event_order refused = {"e0:1", ORDER_STALE};
 
-	paused->hold_orders = true;
+	paused->delay_orders = true;
 	ASSERT_TRUE(w.run_until([&] { return !paused->late.empty(); }));
 	ASSERT_EQ("e0:1", paused->late[0].address);
 	paused->paused = true;
-	w.forget_words();
+	w.expire_announcements();
 	holder = w.add("n2", "v3");
 	ASSERT_TRUE(w.run_until([&] { return is_done(holder); }));
-	EXPECT_EQ(ORDER_STALE, w.take(paused->late[0]));
+	EXPECT_EQ(ORDER_STALE, w.deliver(paused->late[0]));
 	rollout_order(paused->rollout, &refused, w.now_us);
 	EXPECT_EQ(0, holder_fence(paused->holder));
 	w.run(60 * SECOND);
@@ -443,18 +446,18 @@
 }
 
 /*
- * The same, but the engine checks no numbers and takes the late order. The new
- * holder has finished by then; it goes on reading back, finds the older
- * target, and orders the new one again.
+ * Guards against a late order at an engine that does not check the fencing
+ * number and accepts it. The new holder has finished by then. It keeps reading
+ * back, finds the older target and orders the new one again.
  */
 TEST(Rollout, LateOrderIsCorrectedWhereNumbersAreNotChecked)
 {
-	world w;
+	cluster w;
 	node *holder = w.add("n2", "v3");
 	order late = {"e5:1", "v2", 1};
 
 	ASSERT_TRUE(w.run_until([&] { return is_done(holder); }));
-	EXPECT_EQ(ORDER_TAKEN, w.take(late));
+	EXPECT_EQ(ORDER_TAKEN, w.deliver(late));
 	w.run(LOAD_US + SECOND);
 	ASSERT_TRUE(w.run_until(
 		[&] { return is_done(holder) && w.all_run("v3"); }));
@@ -462,13 +465,13 @@
 }
 
 /*
- * A paused holder wakes after its lease has lapsed, with everything ready for
- * its next order. By its own clock the lease is over, so it sends none, even
- * though it has not heard from the service yet.
+ * Guards against an order of a holder that resumes after a pause longer than
+ * its lease, with its next order due. By its own clock the lease has expired,
+ * so it sends none, even before it gets an answer from the key-value service.
  */
 TEST(Rollout, HolderThatWakesSendsNoOrder)
 {
-	world w;
+	cluster w;
 	node *n = w.add("n1");
 	int orders;
 
@@ -490,12 +493,13 @@
 }
 
 /*
- * A new holder's first order to an engine that checks no numbers comes only
- * when the earlier holder's last one must have arrived.
+ * Guards against two holders' orders crossing. A new holder sends its first
+ * order to an engine that does not check the fencing number only when the last
+ * order of the earlier holder must have arrived.
  */
 TEST(Rollout, NewHolderWaitsOutTheLongestOrder)
 {
-	world w;
+	cluster w;
 	node *n;
 	int64_t held_us = 0;
 
@@ -511,19 +515,20 @@
 }
 
 /*
- * Answers are lost: of the claim, of the stored state and of each order. The
- * claim is found to be its own by its value, and reading back tells the rest.
+ * Guards against lost answers to the claim, to a write of the stored state and
+ * to each order. The holder recognises its own claim by its value, and reading
+ * back settles the other cases without a second order.
  */
 TEST(Rollout, LostAnswersAreSettledByReading)
 {
-	world w;
+	cluster w;
 	node *n = w.add("n1");
 
-	n->kv_loses = true;
-	n->lose_orders = true;
+	n->lose_next_write_answer = true;
+	n->lose_order_answers = true;
 	ASSERT_TRUE(w.run_until([&] { return holder_fence(n->holder) != 0; }));
 	EXPECT_EQ(2, holder_fence(n->holder));
-	n->kv_loses = true;
+	n->lose_next_write_answer = true;
 	ASSERT_TRUE(w.run_until([&] { return is_done(n); }));
 	EXPECT_TRUE(w.all_run("v2"));
 	for (const auto &e : w.engines)
@@ -531,13 +536,14 @@
 }
 
 /*
- * Engines die while they load. The first is within the limit and the rollout
- * goes on; the second is over it. The rollout stops, says why, and begins
- * nothing more, neither here nor at a holder that comes after.
+ * Guards against a rollout that continues above the limit on failures. Two
+ * engines die while they load: the first is within the limit, the second is
+ * over it. The rollout then stops with a reason and begins no further batch,
+ * neither at this holder nor at a later one.
  */
 TEST(Rollout, StopsByItselfAboveTheLimit)
 {
-	world w;
+	cluster w;
 	node *n = w.add("n1");
 	node *next;
 	std::string before;
@@ -552,7 +558,7 @@
 	EXPECT_EQ("v1", w.engines["e1:1"].target);
 	w.run(60 * SECOND);
 	n->alive = false;
-	w.forget_words();
+	w.expire_announcements();
 	next = w.add("n2");
 	before = w.transcript;
 	ASSERT_TRUE(w.run_until([&] {
@@ -563,10 +569,13 @@
 	EXPECT_EQ(before + "out e0:1\nout e6:1\n", w.transcript);
 }
 
-/* A dead engine leaves too few in use for the next batch: stop, say so. */
+/*
+ * Guards against a batch that leaves too few endpoints in use. A dead engine
+ * counts as out of use, so the rollout stops with a reason.
+ */
 TEST(Rollout, KeepsEnoughInUse)
 {
-	world w;
+	cluster w;
 	node *n;
 
 	w.engines.erase("e4:1");
@@ -584,12 +593,13 @@
 }
 
 /*
- * The service is away for minutes in the middle. The lease cannot be renewed,
- * no order is sent meanwhile, and the rollout is finished afterwards.
+ * Guards against orders during an outage of the key-value service. It lasts for
+ * minutes: the lease cannot be renewed and no order is sent; afterwards the
+ * rollout is finished.
  */
 TEST(Rollout, OutageOfTheServicePausesIt)
 {
-	world w;
+	cluster w;
 	node *n = w.add("n1");
 	std::string before;
 
