--- a/core/config/config.c
+++ b/core/config/config.c
@@ -65,13 +65,13 @@
 	g_ptr_array_unref(config->history);
 }
 
-/* The kind as it stands in documents, intents and plans. */
+/* Returns the name of the kind used in documents, intents and plans. */
 const char *service_kind_name(enum service_kind kind)
 {
 	return kind == SERVICE_GENERATION ? "generation" : "plain";
 }
 
-/* As large as common clients send, and as patient as they are slow. */
+/* Defaults that admit the largest and slowest requests of common clients. */
 const struct caller_limits caller_limits_default = {
 	.header_bytes = 16384,
 	.body_bytes = 1 << 20,
@@ -79,7 +79,7 @@
 	.idle_timeout_us = 60 * G_USEC_PER_SEC,
 };
 
-/* An empty configuration of revision 0, with one reference. */
+/* Creates an empty configuration of revision 0 with one reference. */
 struct config *config_create(void)
 {
 	struct config *config = g_rc_box_new0(struct config);
@@ -101,7 +101,7 @@
 	return config;
 }
 
-/* Takes another reference and returns the same configuration. */
+/* Adds a reference and returns the same configuration. */
 struct config *config_ref(struct config *config)
 {
 	return g_rc_box_acquire(config);
@@ -114,7 +114,7 @@
 		g_rc_box_release_full(config, config_free_members);
 }
 
-/* Appends a service without endpoints; owned by the configuration. */
+/* Appends a service without endpoints; the configuration owns it. */
 struct config_service *config_add_service(struct config *config,
 					  const char *name,
 					  enum service_kind kind)
@@ -130,7 +130,7 @@
 	return service;
 }
 
-/* Appends an endpoint with eight slots; owned by the service. */
+/* Appends an endpoint with eight slots; the service owns it. */
 struct config_endpoint *
 config_service_add_endpoint(struct config_service *service, const char *address)
 {
@@ -144,7 +144,7 @@
 	return endpoint;
 }
 
-/* Appends an organisation without limits; owned by the configuration. */
+/* Appends an organisation without limits; the configuration owns it. */
 struct config_organisation *config_add_organisation(struct config *config,
 						    const char *name)
 {
@@ -161,8 +161,9 @@
 }
 
 /*
- * Appends a rollout of one endpoint at a time, with half of them in use, that
- * stops at the first failure; owned by the configuration.
+ * Appends a rollout with the defaults: it updates one endpoint at a time,
+ * keeps at least half of the endpoints in use and stops at the first failure.
+ * The configuration owns it.
  */
 struct config_rollout *config_add_rollout(struct config *config,
 					  const char *name)
@@ -179,7 +180,7 @@
 	return rollout;
 }
 
-/* Appends a route without targets; owned by the configuration. */
+/* Appends a route without targets; the configuration owns it. */
 struct route *config_add_route(struct config *config, const char *name,
 			       const char *host, const char *path_prefix)
 {
@@ -189,7 +190,7 @@
 	return route;
 }
 
-/* The route of this name, or NULL. */
+/* Returns the route of this name, or NULL. */
 const struct route *config_find_route(const struct config *config,
 				      const char *name)
 {
@@ -203,7 +204,10 @@
 	return NULL;
 }
 
-/* Requests with this key are the organisation's too; only a digest is kept. */
+/*
+ * Adds a further valid key to the organisation. Only the SHA-256 digest of the
+ * key is stored.
+ */
 void config_organisation_add_key(struct config_organisation *organisation,
 				 const char *key)
 {
@@ -212,7 +216,7 @@
 		g_compute_checksum_for_string(G_CHECKSUM_SHA256, key, -1));
 }
 
-/* The rollout of this name, or NULL. */
+/* Returns the rollout of this name, or NULL. */
 const struct config_rollout *config_find_rollout(const struct config *config,
 						 const char *name)
 {
@@ -227,8 +231,9 @@
 }
 
 /*
- * Appends who confirmed what on which revision. The oldest entries go when
- * there are more than CONFIG_HISTORY_MAX.
+ * Appends an entry to the history: who confirmed which plan on which revision.
+ * The oldest entry is removed when there are more than CONFIG_HISTORY_MAX. The
+ * configuration owns the returned entry.
  */
 struct config_confirmation *config_add_confirmation(struct config *config,
 						    int64_t base_revision,
@@ -250,8 +255,8 @@
 }
 
 /*
- * The revision that confirmation i of the history led to: the next one was
- * confirmed on it.
+ * Returns the revision that confirmation i of the history produced. This is the
+ * base of the next confirmation, or the current revision for the last one.
  */
 int64_t config_confirmation_revision(const struct config *config, guint i)
 {
@@ -264,10 +269,12 @@
 }
 
 /*
- * Whether a plan made on base_revision took effect, and at which revision.
- * Each confirmation is a compare-and-swap at its base, so a plan that the
- * history of a later document leaves out never will. Unknown where the
- * document is not later, or where its history no longer reaches that far back.
+ * Returns whether a plan made on base_revision took effect; if it did, sets
+ * *revision to the revision that it produced. Each confirmation is a
+ * compare-and-swap on its base revision, so a plan that is missing from the
+ * history of a later document can never take effect. The result is unknown if
+ * config is NULL or not later than base_revision, or if its history no longer
+ * reaches back to base_revision.
  */
 enum plan_effect config_find_plan(const struct config *config,
 				  const char *plan_id, int64_t base_revision,
@@ -296,7 +303,7 @@
 	return PLAN_EFFECT_UNKNOWN;
 }
 
-/* The service of this name, or NULL. */
+/* Returns the service of this name, or NULL. */
 const struct config_service *config_find_service(const struct config *config,
 						 const char *name)
 {
@@ -310,7 +317,7 @@
 	return NULL;
 }
 
-/* The service's endpoint at this address, or NULL. */
+/* Returns the service's endpoint at this address, or NULL. */
 const struct config_endpoint *
 config_service_find_endpoint(const struct config_service *service,
 			     const char *address)
@@ -325,7 +332,7 @@
 	return NULL;
 }
 
-/* The organisation of this name, or NULL. */
+/* Returns the organisation of this name, or NULL. */
 const struct config_organisation *
 config_find_organisation(const struct config *config, const char *name)
 {
@@ -340,8 +347,9 @@
 }
 
 /*
- * The organisation whose key this is, or NULL. Only digests are compared, so
- * how far two of them agree tells a caller nothing about the key itself.
+ * Returns the organisation that owns this bearer key, or NULL. Only digests are
+ * compared, so how far two of them match, and thus how long the comparison
+ * takes, reveals nothing about the key itself.
  */
 const struct config_organisation *config_find_key(const struct config *config,
 						  const char *bearer)
--- a/core/config/config.h
+++ b/core/config/config.h
@@ -11,8 +11,9 @@
 G_BEGIN_DECLS
 
 /*
- * The configuration that operators confirm: one document under one key of
- * the key-value service. Immutable once built and shared by reference count.
+ * The configuration that operators confirm, stored as one document under one
+ * key of the key-value service. It is immutable once built and is shared by
+ * reference count.
  */
 
 enum service_kind { SERVICE_GENERATION, SERVICE_PLAIN };
@@ -21,42 +22,42 @@
 	char *address; /* host:port */
 	char *failure_domain;
 	char *region;
-	int64_t capacity_tokens; /* engines; 0: taken from the load report */
-	int32_t slots;		 /* plain endpoints: calls at once */
-	bool checks_fence;	 /* refuses orders with an old number */
+	int64_t capacity_tokens; /* engines; 0: from the load report */
+	int32_t slots;		 /* plain endpoints: concurrent calls */
+	bool checks_fence;	 /* refuses orders with an old fencing number */
 	bool leaving;
 };
 
-/* What a service's engines can do for a gateway; slots 0: a plain service. */
+/* What the engines of a service support; slots 0: a plain service. */
 struct engine_ability {
 	int32_t slots;
 	int64_t memory_tokens;
-	int32_t tokens_per_event; /* of a stream */
-	int64_t copy_keep_us;	  /* a copy of a generation is kept so long */
+	int32_t tokens_per_event; /* in a stream */
+	int64_t copy_keep_us;	  /* lifetime of a generation's copy */
 	bool can_move;
 	bool can_back_up;
 };
 
 struct config_service {
-	char *name; /* the model's name for engines */
+	char *name; /* of engines: the name of the model */
 	enum service_kind kind;
 	GPtrArray *endpoints;	 /* struct config_endpoint */
-	int32_t max_connections; /* to one endpoint, from all nodes; 0: any */
+	int32_t max_connections; /* per endpoint, all nodes; 0: no limit */
 	struct engine_ability engine;
 };
 
 struct config_organisation {
 	char *name;
 	char *key_sha256;     /* hex digest of the bearer key */
-	GPtrArray *more_keys; /* char *: digests that count as well */
+	GPtrArray *more_keys; /* char *: digests of further valid keys */
 	int32_t priority;     /* 0 lowest to 9 */
-	int32_t weight;	      /* share of waiting room, at least 1 */
+	int32_t weight;	      /* relative share of the wait queue, from 1 */
 	int32_t requests_per_s;
 	int64_t concurrent_tokens;
-	int32_t route_priority; /* 0 is the most urgent; -1: the route's */
+	int32_t route_priority; /* 0 is the most urgent; -1: as the route */
 };
 
-/* What callers of routes may send, and how long they may take. */
+/* Size limits and timeouts of the requests that callers send to routes. */
 struct caller_limits {
 	int64_t header_bytes;
 	int64_t body_bytes;
@@ -64,27 +65,27 @@
 	int64_t idle_timeout_us;
 };
 
-/* A target that the engines of a service are to be brought to. */
+/* A target state that all engines of a service are to reach. */
 struct config_rollout {
 	char *name;
 	char *service;
-	char *target;		   /* model, adapter, version or role */
-	char *id;		   /* plan that set it so */
-	int32_t max_parallel;	   /* endpoints out of use at once */
-	int32_t min_ready_percent; /* of the service's, always in use */
-	int32_t max_failures;	   /* stops above */
+	char *target;	      /* model, adapter, version or role */
+	char *id;	      /* id of the plan that last set the rollout */
+	int32_t max_parallel; /* endpoints out of use at a time */
+	int32_t min_ready_percent; /* of the endpoints, kept in use */
+	int32_t max_failures;	   /* the rollout stops above this */
 };
 
-/* One earlier confirmation, kept in the documents that came after it. */
+/* One confirmation, kept in the history of the documents that follow it. */
 struct config_confirmation {
-	int64_t base_revision; /* it was confirmed on */
+	int64_t base_revision; /* revision it was confirmed on */
 	char *plan_id;
 	char *confirmed_by;
 	int64_t confirmed_s; /* by the confirming node's clock */
 	char *summary;
 };
 
-/* Whether a plan took effect, as far as a configuration can tell. */
+/* Whether a plan took effect, as the history of a configuration shows. */
 enum plan_effect { PLAN_EFFECT_UNKNOWN, PLAN_EFFECT_NO, PLAN_EFFECT_YES };
 
 enum { CONFIG_HISTORY_MAX = 32 };
@@ -92,15 +93,15 @@
 extern const struct caller_limits caller_limits_default;
 
 struct config {
-	int64_t revision; /* revision of the key; 0 before it is stored */
-	char *plan_id;	  /* plan whose confirmation wrote it */
+	int64_t revision; /* of the key; 0 until it is stored */
+	char *plan_id;	  /* the plan that wrote this revision */
 	char *confirmed_by;
 	GPtrArray *services;	  /* struct config_service */
 	GPtrArray *organisations; /* struct config_organisation */
 	GPtrArray *rollouts;	  /* struct config_rollout */
 	GPtrArray *routes;	  /* struct route */
 	struct caller_limits callers;
-	bool requires_keys; /* on routes that aren't public */
+	bool requires_keys; /* on routes that are not public */
 	GPtrArray *history; /* struct config_confirmation, oldest first */
 };
 
--- a/core/config/config_check.c
+++ b/core/config/config_check.c
@@ -2,10 +2,12 @@
 
 #include <string.h>
 
-/* Adds a key to a set; if it is there already, names both of its owners. */
-static bool config_check_once(GHashTable *seen, const char *what,
-			      const char *key, const char *owner,
-			      const char *step, struct error *error)
+/*
+ * Adds a key with its owner to a set. If the set already holds the key, returns
+ * false with an error that names both owners.
+ */
+static bool add_unique(GHashTable *seen, const char *what, const char *key,
+		       const char *owner, const char *step, struct error *error)
 {
 	const char *other = g_hash_table_lookup(seen, key);
 
@@ -18,8 +20,8 @@
 	return false;
 }
 
-static bool config_check_services(const struct config *config, const char *step,
-				  struct error *error)
+static bool config_check_unique_services(const struct config *config,
+					 const char *step, struct error *error)
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTable *addresses = g_hash_table_new(g_str_hash, g_str_equal);
@@ -30,8 +32,8 @@
 			g_ptr_array_index(config->services, i);
 		char *what = g_strdup_printf("service %s", service->name);
 
-		ok = config_check_once(names, what, service->name,
-				       "\"services\"", step, error);
+		ok = add_unique(names, what, service->name, "\"services\"",
+				step, error);
 		g_free(what);
 		for (guint j = 0; ok && j < service->endpoints->len; j++) {
 			const struct config_endpoint *endpoint =
@@ -39,9 +41,8 @@
 
 			what = g_strdup_printf("endpoint %s",
 					       endpoint->address);
-			ok = config_check_once(addresses, what,
-					       endpoint->address, service->name,
-					       step, error);
+			ok = add_unique(addresses, what, endpoint->address,
+					service->name, step, error);
 			g_free(what);
 		}
 	}
@@ -50,8 +51,9 @@
 	return ok;
 }
 
-static bool config_check_organisations(const struct config *config,
-				       const char *step, struct error *error)
+static bool config_check_unique_organisations(const struct config *config,
+					      const char *step,
+					      struct error *error)
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTable *keys = g_hash_table_new(g_str_hash, g_str_equal);
@@ -63,15 +65,14 @@
 		char *what =
 			g_strdup_printf("organisation %s", organisation->name);
 
-		ok = config_check_once(names, what, organisation->name,
-				       "\"organisations\"", step, error);
+		ok = add_unique(names, what, organisation->name,
+				"\"organisations\"", step, error);
 		g_free(what);
 		if (ok && *organisation->key_sha256)
-			ok = config_check_once(keys, "key",
-					       organisation->key_sha256,
-					       organisation->name, step, error);
+			ok = add_unique(keys, "key", organisation->key_sha256,
+					organisation->name, step, error);
 		for (guint j = 0; ok && j < organisation->more_keys->len; j++)
-			ok = config_check_once(
+			ok = add_unique(
 				keys, "key",
 				g_ptr_array_index(organisation->more_keys, j),
 				organisation->name, step, error);
@@ -81,9 +82,12 @@
 	return ok;
 }
 
-/* Two rollouts of one service would each order its engines back. */
-static bool config_check_rollout_names(const struct config *config,
-				       const char *step, struct error *error)
+/*
+ * A service may have one rollout only: two would order its engines back and
+ * forth between their targets.
+ */
+static bool config_check_unique_rollouts(const struct config *config,
+					 const char *step, struct error *error)
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
 	GHashTable *services = g_hash_table_new(g_str_hash, g_str_equal);
@@ -93,11 +97,10 @@
 		const struct config_rollout *rollout =
 			g_ptr_array_index(config->rollouts, i);
 
-		ok = config_check_once(names, "rollout", rollout->name,
-				       rollout->name, step, error) &&
-		     config_check_once(services, "service of a rollout",
-				       rollout->service, rollout->name, step,
-				       error);
+		ok = add_unique(names, "rollout", rollout->name, rollout->name,
+				step, error) &&
+		     add_unique(services, "service of a rollout",
+				rollout->service, rollout->name, step, error);
 	}
 	g_hash_table_unref(names);
 	g_hash_table_unref(services);
@@ -124,30 +127,33 @@
 	return true;
 }
 
-/* Two routes of one host and prefix: which one counts would be by chance. */
-static bool config_check_route_names(const struct config *config,
-				     const char *step, struct error *error)
+/*
+ * Each pair of host and path prefix may have one route only, as it would be
+ * undefined which of two routes applies.
+ */
+static bool config_check_unique_routes(const struct config *config,
+				       const char *step, struct error *error)
 {
 	GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
-	GHashTable *places =
+	GHashTable *routes_by_prefix =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	bool ok = true;
 
 	for (guint i = 0; ok && i < config->routes->len; i++) {
 		const struct route *route =
 			g_ptr_array_index(config->routes, i);
-		char *place =
+		char *host_and_prefix =
 			g_strconcat(route->host, route->path_prefix, NULL);
 
-		ok = config_check_once(names, "route", route->name, route->name,
-				       step, error) &&
-		     config_check_once(places, "host and path_prefix", place,
-				       route->name, step, error);
+		ok = add_unique(names, "route", route->name, route->name, step,
+				error) &&
+		     add_unique(routes_by_prefix, "host and path_prefix",
+				host_and_prefix, route->name, step, error);
 		if (!ok)
-			g_free(place);
+			g_free(host_and_prefix);
 	}
 	g_hash_table_unref(names);
-	g_hash_table_unref(places);
+	g_hash_table_unref(routes_by_prefix);
 	return ok;
 }
 
@@ -176,25 +182,30 @@
 }
 
 /*
- * Checks that names, endpoints and keys occur once. An endpoint of two
- * services would be placed on by two books that know nothing of each other,
- * and a key of two organisations would let one act as the other. ERROR_INVALID
- * under this step names the item.
+ * Checks that each name, endpoint address, key, service of a rollout, and pair
+ * of host and path prefix occurs once. If two services shared an endpoint, two
+ * independent books would place requests on it, and if two organisations shared
+ * a key, one could act as the other. Otherwise returns false with ERROR_INVALID
+ * for this step, which names the item.
  */
-bool config_check_names(const struct config *config, const char *step,
-			struct error *error)
+bool config_check_unique(const struct config *config, const char *step,
+			 struct error *error)
 {
-	return config_check_services(config, step, error) &&
-	       config_check_organisations(config, step, error) &&
-	       config_check_rollout_names(config, step, error) &&
-	       config_check_route_names(config, step, error);
+	return config_check_unique_services(config, step, error) &&
+	       config_check_unique_organisations(config, step, error) &&
+	       config_check_unique_rollouts(config, step, error) &&
+	       config_check_unique_routes(config, step, error);
 }
 
-/* Checks what must hold over a whole configuration; errors as above. */
+/*
+ * Checks a complete configuration: the rules of config_check_unique(), that the
+ * services of all rollouts and routes exist, and that those of rollouts are of
+ * kind generation. Errors are the same as there.
+ */
 bool config_check(const struct config *config, const char *step,
 		  struct error *error)
 {
-	return config_check_names(config, step, error) &&
+	return config_check_unique(config, step, error) &&
 	       config_check_rollout_services(config, step, error) &&
 	       config_check_route_services(config, step, error);
 }
--- a/core/config/config_check.h
+++ b/core/config/config_check.h
@@ -8,11 +8,11 @@
 
 G_BEGIN_DECLS
 
-/* What must hold over a whole configuration or the items of an intent. */
+/* Consistency checks of a complete configuration or the items of an intent. */
 bool config_check(const struct config *config, const char *step,
 		  struct error *error);
-bool config_check_names(const struct config *config, const char *step,
-			struct error *error);
+bool config_check_unique(const struct config *config, const char *step,
+			 struct error *error);
 
 G_END_DECLS
 
--- a/core/config/config_format.c
+++ b/core/config/config_format.c
@@ -6,7 +6,10 @@
 
 #include <string.h>
 
-/* Services, endpoints, routes and the like begin with what names them. */
+/*
+ * The first member of every item, such as a service, an endpoint or a route, is
+ * its name or address.
+ */
 static gint compare_names(gconstpointer a, gconstpointer b)
 {
 	const char *const *const *left = a;
@@ -15,9 +18,9 @@
 	return strcmp(**left, **right);
 }
 
-/* Appends an array of items, sorted by what names them. */
-void config_format_list(JsonBuilder *builder, const char *name,
-			const GPtrArray *items, config_format_item add)
+/* Appends an array of items, sorted by their names or addresses. */
+void config_format_sorted_list(JsonBuilder *builder, const char *name,
+			       const GPtrArray *items, config_format_item add)
 {
 	GPtrArray *sorted = g_ptr_array_sized_new(items->len);
 
@@ -48,8 +51,8 @@
 	json_builder_end_object(builder);
 }
 
-static void format_ability(JsonBuilder *builder,
-			   const struct config_service *service)
+static void format_capabilities(JsonBuilder *builder,
+				const struct config_service *service)
 {
 	const struct engine_ability *engine = &service->engine;
 
@@ -73,9 +76,9 @@
 	json_builder_begin_object(builder);
 	json_writer_string(builder, "name", service->name);
 	json_writer_string(builder, "kind", service_kind_name(service->kind));
-	format_ability(builder, service);
-	config_format_list(builder, "endpoints", service->endpoints,
-			   add_endpoint);
+	format_capabilities(builder, service);
+	config_format_sorted_list(builder, "endpoints", service->endpoints,
+				  add_endpoint);
 	json_builder_end_object(builder);
 }
 
@@ -147,16 +150,18 @@
 	json_builder_end_array(builder);
 }
 
-/* Appends the document; its items are sorted by name. */
+/* Appends the configuration as a document with its items sorted by name. */
 void config_format(JsonBuilder *builder, const struct config *config)
 {
 	json_builder_begin_object(builder);
 	json_writer_string(builder, "plan_id", config->plan_id);
 	json_writer_string(builder, "confirmed_by", config->confirmed_by);
-	config_format_list(builder, "services", config->services, add_service);
-	config_format_list(builder, "organisations", config->organisations,
-			   add_organisation);
-	config_format_list(builder, "rollouts", config->rollouts, add_rollout);
+	config_format_sorted_list(builder, "services", config->services,
+				  add_service);
+	config_format_sorted_list(builder, "organisations",
+				  config->organisations, add_organisation);
+	config_format_sorted_list(builder, "rollouts", config->rollouts,
+				  add_rollout);
 	route_json_format(builder, config->routes);
 	if (memcmp(&config->callers, &caller_limits_default,
 		   sizeof(config->callers)) != 0)
--- a/core/config/config_format.h
+++ b/core/config/config_format.h
@@ -9,8 +9,8 @@
 
 typedef void (*config_format_item)(JsonBuilder *builder, gconstpointer item);
 
-void config_format_list(JsonBuilder *builder, const char *name,
-			const GPtrArray *items, config_format_item add);
+void config_format_sorted_list(JsonBuilder *builder, const char *name,
+			       const GPtrArray *items, config_format_item add);
 void config_format(JsonBuilder *builder, const struct config *config);
 
 G_END_DECLS
--- a/core/config/config_json.c
+++ b/core/config/config_json.c
@@ -80,9 +80,10 @@
 }
 
 /*
- * Reads a stored document, which was found at this revision of its key.
- * Returns NULL with ERROR_INVALID, which names the place and what was
- * expected there, or with ERROR_TOO_LARGE above CONFIG_JSON_MAX_BYTES.
+ * Parses a stored document that was read at this revision of its key. The
+ * caller owns the returned reference. Returns NULL with ERROR_INVALID, which
+ * names the member and the value expected there, or with ERROR_TOO_LARGE if the
+ * document exceeds CONFIG_JSON_MAX_BYTES.
  */
 struct config *config_json_parse(GBytes *document, int64_t revision,
 				 struct error *error)
@@ -102,8 +103,9 @@
 }
 
 /*
- * The document as stored: members in a fixed order, items sorted by name,
- * defaults left out, no white space. The revision is not part of it.
+ * Returns the document to store: members in a fixed order, items sorted by
+ * name, default values omitted, no white space. The revision is not part of it.
+ * The caller owns the result.
  */
 GBytes *config_json_format(const struct config *config)
 {
--- a/core/config/config_json.h
+++ b/core/config/config_json.h
@@ -12,8 +12,9 @@
 enum { CONFIG_JSON_MAX_BYTES = 1 << 20 };
 
 /*
- * The configuration as the JSON document kept in the key-value service.
- * Formatting is canonical: equal configurations give equal bytes.
+ * Converts the configuration from and to the JSON document stored in the
+ * key-value service. Formatting is canonical: equal configurations give equal
+ * bytes.
  */
 struct config *config_json_parse(GBytes *document, int64_t revision,
 				 struct error *error);
--- a/core/config/config_read.c
+++ b/core/config/config_read.c
@@ -13,13 +13,13 @@
 	MAX_WEIGHT = 1000000,
 	MAX_PARALLEL = 1000,
 	MAX_TOKENS_PER_EVENT = 1000,
-	LONGEST_COPY_KEEP_MS = 600000,
-	LAST_PRIORITY = 9
+	MAX_COPY_KEEP_MS = 600000,
+	MAX_ROUTE_PRIORITY = 9
 };
 
 #define MAX_TOKENS INT64_C(1000000000000)
 
-/* Names stand in paths, headers, keys and logs, so few characters are let in.
+/* Names are used in paths, headers, keys and logs, so few characters are valid.
  */
 static bool name_is_valid(const char *name)
 {
@@ -30,7 +30,10 @@
 	return true;
 }
 
-/* A name of an item; min_bytes 0: it may be left out. */
+/*
+ * Reads the name of an item. It is optional if min_bytes is 0. The returned
+ * string belongs to the JSON document.
+ */
 const char *config_read_name(struct json_fields *fields, const char *name,
 			     size_t min_bytes)
 {
@@ -51,7 +54,10 @@
 	       g_ascii_string_to_unsigned(port, 10, 1, 65535, &number, NULL);
 }
 
-/* host:port with one spelling for each port, so that equal ones are found. */
+/*
+ * Checks for host:port. Each port has one valid spelling, so that comparing
+ * strings finds equal addresses.
+ */
 static bool address_is_valid(const char *address)
 {
 	const char *colon = strrchr(address, ':');
@@ -125,8 +131,8 @@
 	return SERVICE_PLAIN;
 }
 
-static void read_ability(struct config_service *service,
-			 struct json_fields *fields)
+static void read_capabilities(struct config_service *service,
+			      struct json_fields *fields)
 {
 	struct engine_ability *engine = &service->engine;
 
@@ -139,7 +145,7 @@
 	engine->tokens_per_event = (int32_t)json_fields_int(
 		fields, "tokens_per_event", 1, MAX_TOKENS_PER_EVENT, 1);
 	engine->copy_keep_us = 1000 * json_fields_int(fields, "copy_keep_ms", 0,
-						      LONGEST_COPY_KEEP_MS, 0);
+						      MAX_COPY_KEEP_MS, 0);
 	engine->can_move = json_fields_bool(fields, "can_move", false);
 	engine->can_back_up = json_fields_bool(fields, "can_back_up", false);
 }
@@ -169,7 +175,7 @@
 	json_fields_allow(&fields, names);
 	name = config_read_name(&fields, "name", 1);
 	service = config_add_service(config, name, read_kind(&fields));
-	read_ability(service, &fields);
+	read_capabilities(service, &fields);
 	endpoints = json_fields_array(&fields, "endpoints");
 	if (fields.failed)
 		return false;
@@ -189,7 +195,10 @@
 			    strspn(digest, "0123456789abcdef") == 64);
 }
 
-/* A key in clear is replaced by its digest here and stored nowhere. */
+/*
+ * Reads the digest of a key. An intent may give the key in clear instead: it is
+ * replaced by its digest here and never stored.
+ */
 static char *read_digest(struct json_fields *fields, bool is_intent)
 {
 	const char *digest = json_fields_string(fields, "key_sha256", 0, 64);
@@ -207,7 +216,7 @@
 	return g_compute_checksum_for_string(G_CHECKSUM_SHA256, key, -1);
 }
 
-/* Digests that count besides the first, as while keys are being replaced. */
+/* Reads the digests of further valid keys, used while keys are replaced. */
 static void read_more_keys(struct config_organisation *organisation,
 			   struct json_fields *fields)
 {
@@ -221,7 +230,7 @@
 		if (count > MAX_MORE_KEYS || !digest || !*digest ||
 		    !digest_is_valid(digest)) {
 			json_fields_fail(fields, "more_keys_sha256",
-					 "at most 64 texts of 64 hexadecimal "
+					 "at most 64 strings of 64 hexadecimal "
 					 "digits in lower case");
 			return;
 		}
@@ -266,7 +275,7 @@
 	organisation->concurrent_tokens =
 		json_fields_int(&fields, "concurrent_tokens", 0, MAX_TOKENS, 0);
 	organisation->route_priority = (int32_t)json_fields_int(
-		&fields, "route_priority", -1, LAST_PRIORITY, -1);
+		&fields, "route_priority", -1, MAX_ROUTE_PRIORITY, -1);
 	read_more_keys(organisation, &fields);
 	return !fields.failed;
 }
@@ -314,7 +323,12 @@
 	return !fields.failed;
 }
 
-/* The services and organisations that a document and an intent both have. */
+/*
+ * Reads the items that documents and intents share: services, organisations,
+ * rollouts, routes and the limits of callers. Then checks a document in full,
+ * and an intent only for duplicates. Returns false with an error if a member
+ * or a check fails.
+ */
 bool config_read_items(struct config *config, struct json_fields *fields,
 		       bool is_intent, struct error *error)
 {
@@ -354,6 +368,6 @@
 				  i, is_intent, error))
 			return false;
 	}
-	return is_intent ? config_check_names(config, "intent.parse", error)
+	return is_intent ? config_check_unique(config, "intent.parse", error)
 			 : config_check(config, "config.parse", error);
 }
--- a/core/config/config_read.h
+++ b/core/config/config_read.h
@@ -10,7 +10,7 @@
 
 G_BEGIN_DECLS
 
-/* What a document and an intent have in common, read from JSON. */
+/* Reads the items that stored documents and intents share from JSON. */
 enum { CONFIG_MAX_NAME_BYTES = 128, CONFIG_DEFAULT_SLOTS = 8 };
 enum { CONFIG_DEFAULT_READY_PERCENT = 50 };
 
--- a/core/config/intent_json.c
+++ b/core/config/intent_json.c
@@ -23,9 +23,10 @@
 }
 
 /*
- * Reads an intent: an object with any of "services", "organisations",
- * "rollouts", "routes", the same with "remove_" before them, and "callers".
- * Errors as of config_json_parse(); they never show the text of a key.
+ * Parses an intent: an object with any of "services", "organisations",
+ * "rollouts", "routes", the same names prefixed with "remove_", and "callers".
+ * The caller owns the result. Returns NULL with the errors of
+ * config_json_parse(); they never contain the text of a key.
  */
 struct intent *intent_json_parse(GBytes *document, struct error *error)
 {
@@ -69,8 +70,9 @@
 }
 
 /*
- * Whether an intent asks to go back to the configuration of a revision:
- * {"rollback_to": N}, which stands alone.
+ * Returns whether an intent requests a rollback to the configuration of an
+ * earlier revision, and sets *revision to it. Such an intent has the single
+ * member {"rollback_to": N}.
  */
 bool intent_json_parse_rollback(GBytes *document, int64_t *revision)
 {
--- a/core/config/intent_json.h
+++ b/core/config/intent_json.h
@@ -11,8 +11,8 @@
 G_BEGIN_DECLS
 
 /*
- * What an operator wants changed. An organisation without a key has an empty
- * key_sha256 here; a key given in clear is only kept as its digest.
+ * The changes that an operator requests. An organisation given without a key
+ * has an empty key_sha256; of a key given in clear only the digest is kept.
  */
 struct intent {
 	struct config *items;
@@ -20,7 +20,7 @@
 	GPtrArray *remove_organisations; /* char * */
 	GPtrArray *remove_rollouts;	 /* char * */
 	GPtrArray *remove_routes;	 /* char * */
-	bool has_callers;		 /* items->callers is wanted */
+	bool has_callers;		 /* items->callers is to be applied */
 };
 
 struct intent *intent_json_parse(GBytes *document, struct error *error);
--- a/core/config/route.c
+++ b/core/config/route.c
@@ -7,7 +7,10 @@
 	g_free(((struct route_target *)data)->service);
 }
 
-/* A route without targets; hosts are kept in small letters. */
+/*
+ * Creates a route without targets; the host is stored in lower case. The caller
+ * owns it.
+ */
 struct route *route_create(const char *name, const char *host,
 			   const char *path_prefix)
 {
@@ -22,7 +25,7 @@
 	return route;
 }
 
-/* Another one with the same content. */
+/* Returns a deep copy of a route; the caller owns it. */
 struct route *route_copy(const struct route *other)
 {
 	struct route *route =
@@ -56,7 +59,10 @@
 	g_free(route);
 }
 
-/* Adds a service to which the route sends a share of its requests. */
+/*
+ * Adds a service that receives a share of the route's requests in proportion to
+ * its weight.
+ */
 void route_add_target(struct route *route, const char *service, int32_t weight)
 {
 	struct route_target target = {.service = g_strdup(service),
@@ -65,22 +71,25 @@
 	g_array_append_val(route->targets, target);
 }
 
-/* A service of the route by weight; draw is from 0 up to 1. NULL: none. */
+/*
+ * Returns a service of the route, selected by weight with draw, a random number
+ * from 0 up to 1. Returns NULL if no service has a weight above 0.
+ */
 const char *route_pick_service(const struct route *route, double draw)
 {
 	int64_t total = 0;
-	double at;
+	double position;
 
 	for (guint i = 0; i < route->targets->len; i++)
 		total += g_array_index(route->targets, struct route_target, i)
 				 .weight;
-	at = draw * (double)total;
+	position = draw * (double)total;
 	for (guint i = 0; i < route->targets->len; i++) {
 		const struct route_target *target =
 			&g_array_index(route->targets, struct route_target, i);
 
-		at -= target->weight;
-		if (at < 0)
+		position -= target->weight;
+		if (position < 0)
 			return target->service;
 	}
 	return NULL;
@@ -103,7 +112,7 @@
 	return true;
 }
 
-/* Whether two routes treat requests alike; their names may differ. */
+/* Returns whether two routes are equal in all but their names. */
 bool route_is_equal(const struct route *a, const struct route *b)
 {
 	return strcmp(a->host, b->host) == 0 &&
@@ -117,7 +126,7 @@
 	       targets_are_equal(a->targets, b->targets);
 }
 
-/* The kind as it stands in documents and intents. */
+/* Returns the name of the kind used in documents and intents. */
 const char *route_kind_name(enum route_kind kind)
 {
 	switch (kind) {
@@ -131,7 +140,10 @@
 	return "";
 }
 
-/* The services with their weights, as "old 90, new 10"; freed by g_free. */
+/*
+ * Lists the services with their weights, as "old 90, new 10". The caller frees
+ * the result with g_free.
+ */
 char *route_describe_targets(const struct route *route)
 {
 	GString *text = g_string_new(NULL);
--- a/core/config/route.h
+++ b/core/config/route.h
@@ -7,12 +7,12 @@
 
 G_BEGIN_DECLS
 
-/* Which requests go to which services, and what they may cost. */
+/* A route maps requests to services and limits their time and attempts. */
 
 enum route_kind {
 	ROUTE_IDEMPOTENT, /* may run more than once */
 	ROUTE_ONCE,	  /* at most once */
-	ROUTE_STREAM	  /* at most once; answered event by event */
+	ROUTE_STREAM	  /* at most once; the answer is an event stream */
 };
 
 struct route_target {
@@ -22,15 +22,15 @@
 
 struct route {
 	char *name;
-	char *host;	   /* in small letters */
+	char *host;	   /* in lower case */
 	char *path_prefix; /* begins and ends with a slash */
 	enum route_kind kind;
-	bool is_public;	      /* needs no key */
+	bool is_public;	      /* requires no key */
 	int32_t priority;     /* 0 is the most urgent */
 	int32_t max_attempts; /* endpoints that may run one request */
 	int64_t timeout_us;
-	int64_t first_answer_us;  /* on time up to here; 0: not said */
-	int64_t longest_pause_us; /* between events; 0: not said */
+	int64_t first_answer_us;  /* first answer is due within; 0: not set */
+	int64_t longest_pause_us; /* between events; 0: not set */
 	GArray *targets;	  /* struct route_target */
 };
 
--- a/core/config/route_json.c
+++ b/core/config/route_json.c
@@ -13,12 +13,12 @@
 	MAX_PATH_BYTES = 256,
 	MAX_WEIGHT = 1000000,
 	MAX_ATTEMPTS = 10,
-	LAST_PRIORITY = 9,
-	LONGEST_MS = 3600 * 1000,
+	MAX_ROUTE_PRIORITY = 9,
+	MAX_DURATION_MS = 3600 * 1000,
 	MIN_HEADER_BYTES = 256,
 	MAX_HEADER_BYTES = 1 << 20,
 	MAX_BODY_BYTES = 1 << 30,
-	SHORTEST_TIMEOUT_MS = 10
+	MIN_TIMEOUT_MS = 10
 };
 
 static enum route_kind read_kind(struct json_fields *fields)
@@ -34,7 +34,7 @@
 	return ROUTE_ONCE;
 }
 
-/* A prefix ends with a slash, so that /a/ never takes what is for /ab. */
+/* A prefix ends with a slash, so that /a/ never matches requests to /ab. */
 static const char *read_path_prefix(struct json_fields *fields)
 {
 	const char *value =
@@ -87,14 +87,17 @@
 	return false;
 }
 
-static int64_t read_us(struct json_fields *fields, const char *name,
-		       int64_t min_ms, int64_t absent_ms)
+static int64_t read_duration_us(struct json_fields *fields, const char *name,
+				int64_t min_ms, int64_t absent_ms)
 {
-	return US_PER_MS *
-	       json_fields_int(fields, name, min_ms, LONGEST_MS, absent_ms);
+	return US_PER_MS * json_fields_int(fields, name, min_ms,
+					   MAX_DURATION_MS, absent_ms);
 }
 
-/* Reads a route into the configuration; false with the place and reason. */
+/*
+ * Reads element i of "routes" into the configuration. Returns false with an
+ * error that names the member and the reason.
+ */
 bool route_json_read(struct config *config, JsonNode *node, guint i,
 		     struct error *error)
 {
@@ -123,13 +126,15 @@
 	route->kind = read_kind(&fields);
 	route->is_public = json_fields_bool(&fields, "public", false);
 	route->priority = (int32_t)json_fields_int(&fields, "priority", 0,
-						   LAST_PRIORITY, 0);
+						   MAX_ROUTE_PRIORITY, 0);
 	route->max_attempts = (int32_t)json_fields_int(&fields, "max_attempts",
 						       1, MAX_ATTEMPTS, 1);
 	route->timeout_us =
-		read_us(&fields, "timeout_ms", SHORTEST_TIMEOUT_MS, 30000);
-	route->first_answer_us = read_us(&fields, "first_answer_ms", 0, 0);
-	route->longest_pause_us = read_us(&fields, "longest_pause_ms", 0, 0);
+		read_duration_us(&fields, "timeout_ms", MIN_TIMEOUT_MS, 30000);
+	route->first_answer_us =
+		read_duration_us(&fields, "first_answer_ms", 0, 0);
+	route->longest_pause_us =
+		read_duration_us(&fields, "longest_pause_ms", 0, 0);
 	return !fields.failed && read_targets(route, &fields, i, error);
 }
 
@@ -170,14 +175,18 @@
 	json_builder_end_object(builder);
 }
 
-/* Appends the member "routes", by name; nothing where there are none. */
+/* Appends the member "routes", sorted by name; omitted if there are none. */
 void route_json_format(JsonBuilder *builder, const GPtrArray *routes)
 {
 	if (routes->len > 0)
-		config_format_list(builder, "routes", routes, format_route);
+		config_format_sorted_list(builder, "routes", routes,
+					  format_route);
 }
 
-/* Reads callers' limits; what is left out stays as it is. */
+/*
+ * Reads callers' limits; a limit that is left out keeps its value. Returns
+ * false with an error that names the member and the reason.
+ */
 bool caller_limits_json_read(struct caller_limits *limits, JsonNode *node,
 			     struct error *error)
 {
@@ -195,15 +204,15 @@
 	limits->body_bytes = json_fields_int(
 		&fields, "body_bytes", 0, MAX_BODY_BYTES, limits->body_bytes);
 	limits->header_timeout_us =
-		read_us(&fields, "header_timeout_ms", SHORTEST_TIMEOUT_MS,
-			limits->header_timeout_us / US_PER_MS);
+		read_duration_us(&fields, "header_timeout_ms", MIN_TIMEOUT_MS,
+				 limits->header_timeout_us / US_PER_MS);
 	limits->idle_timeout_us =
-		read_us(&fields, "idle_timeout_ms", SHORTEST_TIMEOUT_MS,
-			limits->idle_timeout_us / US_PER_MS);
+		read_duration_us(&fields, "idle_timeout_ms", MIN_TIMEOUT_MS,
+				 limits->idle_timeout_us / US_PER_MS);
 	return !fields.failed;
 }
 
-/* Appends the member "callers". */
+/* Appends the member "callers" with all limits, including defaults. */
 void caller_limits_json_format(JsonBuilder *builder,
 			       const struct caller_limits *limits)
 {
--- a/core/config/route_json.h
+++ b/core/config/route_json.h
@@ -9,7 +9,7 @@
 
 G_BEGIN_DECLS
 
-/* Routes and callers' limits in documents and intents. */
+/* Reads and formats routes and callers' limits of documents and intents. */
 bool route_json_read(struct config *config, JsonNode *node, guint i,
 		     struct error *error);
 void route_json_format(JsonBuilder *builder, const GPtrArray *routes);
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -11,13 +11,14 @@
 		double figures[FIGURES])
 {
 	direct_run(scenario_find(workload), policy, seed, figures);
-	figures[FIGURE_DECISION_US] = 0; /* the only one in real time */
+	figures[FIGURE_DECISION_US] = 0; /* the only real-time figure */
 }
 
 /*
- * Reports get three times as long in mid-run at full load. Naive placement
- * fills the engines' memory and preempts; the project's must keep far clear of
- * that without serving less. Margins are wide: figures are in docs/POLICY.md.
+ * Reports become three times as long in mid-run at full load. Naive placement
+ * fills the engines' memory, which causes preemptions; the project's placement
+ * must have less than a tenth of them and serve over 95 % as many tokens. The
+ * margins are wide: docs/POLICY.md has the figures.
  */
 TEST(Policy, KeepsClearOfPreemptionsWhenLengthsShift)
 {
@@ -58,7 +59,10 @@
 	g_array_unref(known);
 }
 
-/* Requests that share their misjudgement need more room than independent. */
+/*
+ * Requests whose length estimates err together need a larger memory margin than
+ * requests with independent errors.
+ */
 TEST(Admission, ACommonFactorWidensTheMargin)
 {
 	struct length_estimate_options options;
@@ -66,7 +70,7 @@
 	struct length_class *cls;
 	struct admission_demand demand;
 	struct admission_load load = {};
-	struct admission_margin alone = {2, 0}, common = {2, 0.3};
+	struct admission_margin independent = {2, 0}, correlated = {2, 0.3};
 
 	length_estimate_options_default(&options);
 	estimate = length_estimate_create(&options);
@@ -76,9 +80,9 @@
 	admission_demand_fill(&demand, length_class_curve(cls), 100, 0, 0);
 	for (int i = 0; i < 50; i++)
 		admission_load_add(&load, &demand);
-	EXPECT_GT(admission_peak(&load, &demand, &alone), 51 * 100);
-	EXPECT_GT(admission_peak(&load, &demand, &common),
-		  1.02 * admission_peak(&load, &demand, &alone));
+	EXPECT_GT(admission_peak(&load, &demand, &independent), 51 * 100);
+	EXPECT_GT(admission_peak(&load, &demand, &correlated),
+		  1.02 * admission_peak(&load, &demand, &independent));
 	for (int i = 0; i < 50; i++)
 		admission_load_remove(&load, &demand);
 	EXPECT_NEAR(0, load.mean[0], 1);
