--- a/adapters/gateway/exchange.c
+++ b/adapters/gateway/exchange.c
@@ -3,15 +3,15 @@
 
 #include <string.h>
 
-/* A generation is planned with this share of its maximum without a guess. */
-#define UNKNOWN_LENGTH_SHARE 0.5
+/* Expected length, as a share of max_tokens, when the caller gives no hint. */
+#define DEFAULT_LENGTH_SHARE 0.5
 
 static int64_t elapsed_ms(const struct exchange *exchange, int64_t since_us)
 {
 	return since_us ? (exchange->gateway->now_us - since_us) / 1000 : -1;
 }
 
-/* Whether the request is served by a model engine. */
+/* Returns whether a model engine serves the request. */
 bool exchange_is_generation(const struct exchange *exchange)
 {
 	return exchange->service && exchange->service->engine.slots > 0;
@@ -24,7 +24,7 @@
 	leg_destroy(g_steal_pointer(&exchange->leg));
 }
 
-/* Frees an exchange; its caller isn't told. */
+/* Frees an exchange without an answer to its caller. */
 void exchange_destroy(gpointer data)
 {
 	struct exchange *exchange = data;
@@ -76,7 +76,10 @@
 		  "pause_ms", numbers[6], NULL);
 }
 
-/* The request is over; its caller has been told. */
+/*
+ * Logs the end of the request and frees the exchange; sends nothing to the
+ * caller.
+ */
 void exchange_end(struct exchange *exchange, const char *outcome,
 		  const char *reason)
 {
@@ -85,8 +88,9 @@
 }
 
 /*
- * The final answer of ours. 503 and 408 say that the request has not run and
- * never will; 502 and 504 say nothing of that. A negative time names none.
+ * Answers the request with an error of this node and frees the exchange. The
+ * statuses 503 and 408 promise that the request has not run and never will;
+ * 502 and 504 leave that open. A negative retry_after_us omits Retry-After.
  */
 void exchange_refuse(struct exchange *exchange, int32_t status,
 		     int64_t retry_after_us, const char *reason)
@@ -109,7 +113,11 @@
 	g_string_free(fields, TRUE);
 }
 
-/* Cuts an answer that has begun off, so that nobody takes it for whole. */
+/*
+ * Aborts the answer and frees the exchange. An answer that has begun is cut
+ * off, so that no caller mistakes it for a complete one; otherwise the request
+ * is refused with 502.
+ */
 void exchange_break(struct exchange *exchange, const char *reason)
 {
 	struct caller *caller = exchange->caller;
@@ -124,7 +132,7 @@
 	caller_break(caller);
 }
 
-/* The caller has left: its engine is told by the closing connection. */
+/* The caller disconnected: closing the engine's connection cancels the run. */
 void exchange_caller_gone(struct exchange *exchange)
 {
 	counters_add(exchange->gateway->options.counters, COUNTER_GATEWAY_GONE,
@@ -132,14 +140,14 @@
 	exchange_end(exchange, "caller_gone", "");
 }
 
-/* The caller has taken what waited for it. */
+/* The caller's send buffer is empty: reads from the endpoint again. */
 void exchange_caller_drained(struct exchange *exchange)
 {
 	if (exchange->leg && exchange->leg->attempt)
 		attempt_set_reading(exchange->leg->attempt, true);
 }
 
-/* What to ask of endpoint_choose for this request. */
+/* Fills the criteria by which endpoint_choose selects for this request. */
 void exchange_wish(const struct exchange *exchange, struct endpoint_wish *wish)
 {
 	struct gateway *gateway = exchange->gateway;
@@ -186,7 +194,7 @@
 		exchange_fail_leg(exchange, RESULT_NOT_SENT, error.detail);
 }
 
-/* Sends the request to the endpoint; NULL: none has room, so it is refused. */
+/* Sends the request to the endpoint; refuses it if the endpoint is NULL. */
 void exchange_place(struct exchange *exchange, struct endpoint *endpoint)
 {
 	struct gateway *gateway = exchange->gateway;
@@ -208,7 +216,7 @@
 			"no_room");
 }
 
-/* Sends the request to the endpoint that this node thinks best. */
+/* Sends the request to the endpoint that this node selects itself. */
 void exchange_choose(struct exchange *exchange)
 {
 	struct endpoint_wish wish;
@@ -218,7 +226,7 @@
 		       endpoint_choose(exchange->gateway->registry, &wish));
 }
 
-/* Sends the request to an endpoint, of the home's choice or of its own. */
+/* Sends the request to an endpoint that the home or this node selects. */
 void exchange_send_new(struct exchange *exchange)
 {
 	if (!exchange_ask_home(exchange))
@@ -235,7 +243,7 @@
 			       gateway->options.drain_us);
 }
 
-/* Who sends: false when the request has been refused. */
+/* Finds the caller's organisation. Returns false if the request was refused. */
 static bool exchange_authorise(struct exchange *exchange)
 {
 	struct gateway *gateway = exchange->gateway;
@@ -254,8 +262,9 @@
 }
 
 /*
- * Finds the route. A node that may have missed a change says so instead of
- * that there is no such route or key: the caller would not come back.
+ * Finds the route and authorises the caller. A node that may have missed a
+ * change answers 503 instead of 404 or 401, after which the caller would not
+ * retry. Returns false if the request was refused.
  */
 static bool exchange_find_route(struct exchange *exchange)
 {
@@ -278,7 +287,7 @@
 	return false;
 }
 
-static int64_t exchange_expect_tokens(const struct exchange *exchange)
+static int64_t exchange_estimate_tokens(const struct exchange *exchange)
 {
 	const struct caller_request *asked = &exchange->asked;
 	int64_t expected = asked->expected_tokens;
@@ -286,7 +295,7 @@
 	if (!exchange_is_generation(exchange))
 		return 0;
 	if (expected == 0)
-		expected = (int64_t)(UNKNOWN_LENGTH_SHARE *
+		expected = (int64_t)(DEFAULT_LENGTH_SHARE *
 				     (double)asked->max_tokens);
 	if (asked->max_tokens > 0)
 		expected = MIN(expected, asked->max_tokens);
@@ -302,7 +311,10 @@
 	exchange->deadline_us = exchange->begun_us + patience_us;
 }
 
-/* The same caller, path and body: the request itself, whatever its id. */
+/*
+ * Identifies a request by organisation, path and body, independent of its id,
+ * so that a repeated request is recognised.
+ */
 static uint64_t exchange_fingerprint(const struct exchange *exchange)
 {
 	GChecksum *checksum = g_checksum_new(G_CHECKSUM_SHA256);
@@ -323,7 +335,7 @@
 	return fingerprint;
 }
 
-/* False when the request crashed engines before, and has been refused. */
+/* Refuses a request that crashed engines before; returns false then. */
 static bool exchange_check_quarantine(struct exchange *exchange)
 {
 	struct gateway *gateway = exchange->gateway;
@@ -354,12 +366,15 @@
 	}
 	exchange->service = route_table_find_service(exchange->table,
 						     exchange->service_name);
-	exchange->expected_tokens = exchange_expect_tokens(exchange);
+	exchange->expected_tokens = exchange_estimate_tokens(exchange);
 	exchange_set_deadline(exchange);
 	return exchange_check_quarantine(exchange);
 }
 
-/* Answers a caller's request; head and body are its own from now on. */
+/*
+ * Starts to serve a caller's request; the exchange takes ownership of head and
+ * body. The exchange may already be over and freed on return.
+ */
 void exchange_begin(struct gateway *gateway, struct caller *caller,
 		    struct http_head *head, GByteArray *body)
 {
--- a/adapters/gateway/exchange_answer.c
+++ b/adapters/gateway/exchange_answer.c
@@ -2,26 +2,27 @@
 
 #include <string.h>
 
-/* Held back until it is whole, so that a broken answer can be tried again. */
-#define MAX_HELD_BYTES (256 * 1024)
+/* Up to this size an answer is buffered, so that a broken one can be retried.
+ */
+#define MAX_BUFFERED_BYTES (256 * 1024)
 
-/* Waiting for a caller that reads slowly; then its engine has to wait. */
-#define MAX_WAITING_BYTES (128 * 1024)
+/* With more bytes unread by the caller, reading from the engine pauses. */
+#define MAX_UNREAD_BYTES (128 * 1024)
 
-/* An engine that refused for want of room is passed by for so long. */
-#define FULL_US (250 * 1000)
+/* An engine that refused a request as full is skipped for this time. */
+#define FULL_PAUSE_US (250 * 1000)
 
-/* The room that a generation holds is counted anew each so many events. */
-#define PLAN_EVERY_EVENTS 32
+/* The tokens counted for a generation are updated every so many events. */
+#define PLAN_INTERVAL_EVENTS 32
 
 #define STATUS_OK 200
 #define STATUS_ERROR 500
 #define STATUS_FULL 503
 
-/* Kept connections are used for so long if the endpoint doesn't say. */
-#define KEEP_US (3 * G_USEC_PER_SEC)
+/* Reuse time of an idle connection if the endpoint announces none. */
+#define DEFAULT_KEEP_US (3 * G_USEC_PER_SEC)
 
-/* The endpoint's clock for an idle connection started before ours. */
+/* The endpoint's idle timer for a connection started before this node's. */
 #define KEEP_MARGIN_US G_USEC_PER_SEC
 
 static void exchange_send_head(struct exchange *exchange)
@@ -44,8 +45,8 @@
 	exchange_send_head(exchange);
 }
 
-/* An answer too large to be held back goes on as it comes. */
-static void exchange_begin_passing(struct exchange *exchange)
+/* Forwards an answer too large to be buffered as it arrives. */
+static void exchange_begin_forwarding(struct exchange *exchange)
 {
 	if (exchange->answer_size < 0) {
 		exchange_begin_chunked(exchange);
@@ -57,8 +58,8 @@
 	exchange_send_head(exchange);
 }
 
-static void exchange_pass(struct exchange *exchange, const char *bytes,
-			  size_t size)
+static void exchange_forward(struct exchange *exchange, const char *bytes,
+			     size_t size)
 {
 	char head[24];
 
@@ -71,20 +72,20 @@
 	caller_send(exchange->caller, bytes, size);
 	if (exchange->is_chunked)
 		caller_send(exchange->caller, "\r\n", 2);
-	if (caller_waiting_bytes(exchange->caller) > MAX_WAITING_BYTES &&
+	if (caller_waiting_bytes(exchange->caller) > MAX_UNREAD_BYTES &&
 	    exchange->leg->attempt)
 		attempt_set_reading(exchange->leg->attempt, false);
 }
 
-/* Tells how long the caller waited for a run that changed its engine. */
-static void leg_log_goes_on(const struct leg *leg)
+/* Logs how long the caller waited while the run changed engines. */
+static void leg_log_takeover(const struct leg *leg)
 {
 	const struct exchange *exchange = leg->exchange;
 	int64_t now_us = exchange->gateway->now_us;
 	char pause[24], sent[24], event[24];
 
 	g_snprintf(pause, sizeof(pause), "%" G_GINT64_FORMAT,
-		   (now_us - exchange->passed_us) / 1000);
+		   (now_us - exchange->forwarded_us) / 1000);
 	g_snprintf(sent, sizeof(sent), "%" G_GINT64_FORMAT,
 		   (now_us - leg->sent_us) / 1000);
 	g_snprintf(event, sizeof(event), "%" G_GINT64_FORMAT,
@@ -94,11 +95,11 @@
 		  "event", event, "pause_ms", pause, "sent_ms", sent, NULL);
 }
 
-/* The room it holds grows with what the generation has made. */
-static void exchange_plan_again(struct exchange *exchange)
+/* The tokens counted for a generation grow with its output. */
+static void exchange_update_tokens(struct exchange *exchange)
 {
-	if (exchange->event_count % PLAN_EVERY_EVENTS == 0)
-		leg_plan_tokens(exchange->leg, exchange_held_tokens(exchange));
+	if (exchange->event_count % PLAN_INTERVAL_EVENTS == 0)
+		leg_set_tokens(exchange->leg, exchange_held_tokens(exchange));
 }
 
 static void exchange_count_event(struct exchange *exchange)
@@ -108,23 +109,25 @@
 	if (exchange->event_count++ == 0)
 		exchange->first_event_us = now_us;
 	else
-		exchange->longest_pause_us = MAX(exchange->longest_pause_us,
-						 now_us - exchange->passed_us);
-	exchange->passed_us = now_us;
+		exchange->longest_pause_us =
+			MAX(exchange->longest_pause_us,
+			    now_us - exchange->forwarded_us);
+	exchange->forwarded_us = now_us;
 	if (exchange_is_generation(exchange))
-		exchange_plan_again(exchange);
+		exchange_update_tokens(exchange);
 }
 
 /*
- * One whole event. After a change of engines the numbers tell whether it is
- * the next one: an older one is dropped, and behind a gap nothing can follow.
+ * Forwards one complete event to the caller. After a change of engines the id
+ * shows whether it is the next one: an older event is dropped. Returns false on
+ * a gap in the ids, after which no event can be forwarded. An id of -1 is none.
  */
 bool exchange_on_event(void *data, const char *bytes, size_t size, int64_t id)
 {
 	struct leg *leg = data;
 	struct exchange *exchange = leg->exchange;
 
-	/* A comment or a part of an event is no run yet: it has no copy. */
+	/* Comments and partial events don't start a run: no copy exists yet. */
 	if (!leg->begun_us)
 		leg->begun_us = exchange->gateway->now_us;
 	if (id >= 0 && exchange->last_event >= 0) {
@@ -135,20 +138,20 @@
 	}
 	if (id >= 0)
 		exchange->last_event = id;
-	if (leg->goes_on && !leg->has_gone_on) {
-		leg->has_gone_on = true;
-		leg_log_goes_on(leg);
+	if (leg->is_takeover && !leg->has_continued) {
+		leg->has_continued = true;
+		leg_log_takeover(leg);
 	}
-	leg_prompt_read(leg);
+	leg_mark_prompt_read(leg);
 	exchange_count_event(exchange);
 	if (!exchange->answer_begun)
 		exchange_begin_chunked(exchange);
-	exchange_pass(exchange, bytes, size);
+	exchange_forward(exchange, bytes, size);
 	return true;
 }
 
-static void exchange_keep_head(struct exchange *exchange,
-			       const struct http_head *head)
+static void exchange_store_head(struct exchange *exchange,
+				const struct http_head *head)
 {
 	if (exchange->answer_head)
 		g_string_free(exchange->answer_head, TRUE);
@@ -160,24 +163,25 @@
 	g_byte_array_set_size(exchange->answer_body, 0);
 }
 
-static void leg_not_run(struct leg *leg, int32_t status)
+static void leg_handle_refusal(struct leg *leg, int32_t status)
 {
 	struct exchange *exchange = leg->exchange;
 	struct endpoint *endpoint = leg_endpoint(leg);
 
-	if (endpoint && status == STATUS_FULL && !leg->goes_on)
-		endpoint->full_until_us = exchange->gateway->now_us + FULL_US;
+	if (endpoint && status == STATUS_FULL && !leg->is_takeover)
+		endpoint->full_until_us =
+			exchange->gateway->now_us + FULL_PAUSE_US;
 	if (leg == exchange->next)
 		exchange_drop_next(exchange, "no copy");
 	else
 		exchange_fail_leg(exchange,
-				  leg->goes_on ? RESULT_NO_COPY
-					       : RESULT_NOT_RUN,
+				  leg->is_takeover ? RESULT_NO_COPY
+						   : RESULT_NOT_RUN,
 				  "refused by the endpoint");
 }
 
-/* True when the error is the answer; false when it is tried elsewhere. */
-static bool exchange_keeps_error(struct exchange *exchange)
+/* Returns true to forward the error; false: the leg was failed for recovery. */
+static bool exchange_forwards_error(struct exchange *exchange)
 {
 	struct recovery_input input = {
 		.kind = exchange->route->kind,
@@ -197,20 +201,21 @@
 }
 
 /*
- * The endpoint may have run it, and its status would promise the caller that it
- * did not: the caller would send it again, to run twice.
+ * The endpoint may have run the request, but its status promises the caller
+ * that it did not: the caller would repeat the request, and it would run twice.
  */
-static bool exchange_promises_too_much(const struct exchange *exchange)
+static bool exchange_has_unsafe_status(const struct exchange *exchange)
 {
 	return exchange->said.promises_not_run &&
 	       exchange->route->kind != ROUTE_IDEMPOTENT;
 }
 
 /*
- * A run that was taken over goes on; its first head has been passed on. The
- * engine that had it before is let go now at the latest.
+ * Handles the head of a run that was taken over; the caller already has the
+ * first head. The previous engine is released now at the latest.
  */
-static void leg_goes_on(struct leg *leg, const struct http_head *head)
+static void leg_handle_takeover_head(struct leg *leg,
+				     const struct http_head *head)
 {
 	struct exchange *exchange = leg->exchange;
 	bool is_good = head->status == STATUS_OK && exchange->said.is_own;
@@ -218,10 +223,9 @@
 	if (leg == exchange->next && is_good)
 		exchange_promote_next(exchange);
 	else if (leg == exchange->next)
-		exchange_drop_next(exchange, "no answer of an engine");
+		exchange_drop_next(exchange, "not an engine's answer");
 	else if (!is_good)
-		exchange_fail_leg(exchange, RESULT_BROKEN,
-				  "the run does not go on");
+		exchange_fail_leg(exchange, RESULT_BROKEN, "run not continued");
 }
 
 static void on_head(void *data, const struct http_head *head)
@@ -230,18 +234,18 @@
 	struct exchange *exchange = leg->exchange;
 	struct endpoint *endpoint = leg_endpoint(leg);
 
-	leg->has_answered = true;
+	leg->head_received = true;
 	leg->status = head->status;
 	exchange->gateway->now_us = gateway_now_us();
 	exchange->gateway->dialect->read_answer(head, &exchange->said);
 	if (exchange->said.did_not_run) {
-		leg_not_run(leg, head->status);
+		leg_handle_refusal(leg, head->status);
 		return;
 	}
 	if (exchange->said.is_event_stream)
 		leg->events = event_scanner_create(exchange_on_event, leg);
-	if (leg->goes_on && exchange->answer_begun) {
-		leg_goes_on(leg, head);
+	if (leg->is_takeover && exchange->answer_begun) {
+		leg_handle_takeover_head(leg, head);
 		return;
 	}
 	exchange->runs++;
@@ -251,28 +255,28 @@
 				  "not an endpoint's answer");
 		return;
 	}
-	if (exchange_promises_too_much(exchange)) {
+	if (exchange_has_unsafe_status(exchange)) {
 		exchange_fail_leg(exchange, RESULT_ERROR,
-				  "a promise without the word for it");
+				  "status falsely promises no run");
 		return;
 	}
-	if (head->status >= STATUS_ERROR && !exchange_keeps_error(exchange))
+	if (head->status >= STATUS_ERROR && !exchange_forwards_error(exchange))
 		return;
 	if (endpoint)
 		endpoint_count_answer(endpoint, head->status >= STATUS_ERROR);
-	exchange_keep_head(exchange, head);
+	exchange_store_head(exchange, head);
 }
 
-static void leg_take_events(struct leg *leg, const char *bytes, size_t size)
+static void leg_receive_events(struct leg *leg, const char *bytes, size_t size)
 {
 	struct exchange *exchange = leg->exchange;
 
 	exchange->gateway->now_us = gateway_now_us();
-	leg->heard_us = exchange->gateway->now_us;
+	leg->last_received_us = exchange->gateway->now_us;
 	if (event_scanner_feed(leg->events, bytes, size))
 		return;
 	if (leg == exchange->next)
-		exchange_drop_next(exchange, "events do not follow");
+		exchange_drop_next(exchange, "gap in event ids");
 	else
 		exchange_break(exchange, "events_do_not_follow");
 }
@@ -283,27 +287,27 @@
 	struct exchange *exchange = leg->exchange;
 
 	if (leg->events) {
-		leg_take_events(leg, bytes, size);
+		leg_receive_events(leg, bytes, size);
 		return;
 	}
 	if (exchange->answer_begun) {
-		exchange_pass(exchange, bytes, size);
+		exchange_forward(exchange, bytes, size);
 		return;
 	}
 	g_byte_array_append(exchange->answer_body, (const guint8 *)bytes,
 			    (guint)size);
-	if (exchange->answer_body->len <= MAX_HELD_BYTES)
+	if (exchange->answer_body->len <= MAX_BUFFERED_BYTES)
 		return;
-	exchange_begin_passing(exchange);
-	exchange_pass(exchange, (const char *)exchange->answer_body->data,
-		      exchange->answer_body->len);
+	exchange_begin_forwarding(exchange);
+	exchange_forward(exchange, (const char *)exchange->answer_body->data,
+			 exchange->answer_body->len);
 	g_byte_array_set_size(exchange->answer_body, 0);
 }
 
 static void exchange_keep_connection(struct exchange *exchange)
 {
 	struct gateway *gateway = exchange->gateway;
-	int64_t keep_us = KEEP_US;
+	int64_t keep_us = DEFAULT_KEEP_US;
 
 	if (exchange->route->kind != ROUTE_IDEMPOTENT)
 		return;
@@ -320,7 +324,7 @@
 	return status == 204 || status == 304;
 }
 
-static void exchange_send_held(struct exchange *exchange)
+static void exchange_send_buffered(struct exchange *exchange)
 {
 	int64_t size = exchange->answer_body->len;
 	bool is_head = strcmp(exchange->head->method, "HEAD") == 0;
@@ -332,8 +336,8 @@
 			exchange->answer_head,
 			"Content-Length: %" G_GINT64_FORMAT "\r\n", size);
 	exchange_send_head(exchange);
-	exchange_pass(exchange, (const char *)exchange->answer_body->data,
-		      exchange->answer_body->len);
+	exchange_forward(exchange, (const char *)exchange->answer_body->data,
+			 exchange->answer_body->len);
 }
 
 static void exchange_count_times(const struct exchange *exchange)
@@ -359,7 +363,7 @@
 
 	if (leg->events && !event_scanner_is_between(leg->events)) {
 		exchange_fail_leg(exchange, RESULT_BROKEN,
-				  "ends within an event");
+				  "answer ended within an event");
 		return;
 	}
 	if (endpoint)
@@ -371,7 +375,7 @@
 					exchange->fingerprint);
 	exchange_keep_connection(exchange);
 	if (!exchange->answer_begun)
-		exchange_send_held(exchange);
+		exchange_send_buffered(exchange);
 	else if (exchange->is_chunked)
 		caller_send(caller, "0\r\n\r\n", 5);
 	counters_add(exchange->gateway->options.counters, COUNTER_GATEWAY_WHOLE,
@@ -388,7 +392,7 @@
 			attempt_has_sent(leg->attempt);
 
 	exchange->gateway->now_us = gateway_now_us();
-	leg->is_out_of_reach = error->code == ERROR_TIMEOUT;
+	leg->has_timed_out = error->code == ERROR_TIMEOUT;
 	if (leg == exchange->next)
 		exchange_drop_next(exchange, error->detail);
 	else
--- a/adapters/gateway/exchange_move.c
+++ b/adapters/gateway/exchange_move.c
@@ -1,26 +1,26 @@
 #include "adapters/gateway/exchange_state.h"
 
 /*
- * A generation whose engine leaves and of which no copy is kept: its engine
- * copies its memory to another one while it runs on. When the copy is there,
- * the request goes on from it, and the other engine reads the few tokens that
- * are newer. Stopping first and copying the rest as well would need none of
- * that reading, but the second copy waits behind all others on the link, and
- * the caller for it.
+ * Moves a generation without a backup off a leaving engine. The engine copies
+ * the generation's memory to a target engine while the generation runs. Once
+ * the copy is complete, the target continues from it and processes the few
+ * tokens that are newer. Stopping the run and copying the rest as well would
+ * save that processing, but the second copy would queue behind all others on
+ * the link, and the caller would wait for it.
  */
 
 /*
- * A copy to another failure domain takes twice as long, on a link on which all
- * generations of an engine leave within a second and a half.
+ * Weight of a target in another failure domain. A copy there takes twice as
+ * long, on a link over which all generations of an engine leave within 1.5 s.
  */
-#define FAR_COPY_WEIGHT 0.3
+#define OTHER_DOMAIN_WEIGHT 0.3
 
 #define STATUS_OK 200
 
 /*
- * Room at the target is counted from the start: the generations of one engine
- * leave together, and would all choose the same target otherwise, to wait for
- * one another on its link until their engine is gone.
+ * Counts the copy at its target from the start of the move. All generations of
+ * one engine leave together; without the count they would all select the same
+ * target and queue on its link until their engine is gone.
  */
 static void move_count(struct exchange *exchange, int32_t sign)
 {
@@ -34,7 +34,7 @@
 	exchange->gateway->held_changed = true;
 }
 
-/* Gives a copy up; the next step looks for another target. */
+/* Gives up a copy; the next step tries another target. */
 void exchange_move_fail(struct exchange *exchange, const char *reason)
 {
 	const struct endpoint *target = registry_find(
@@ -56,7 +56,7 @@
 	exchange->move.failures++;
 }
 
-/* The engine that has the whole copy and still serves; NULL: none. */
+/* Returns the engine that has the complete copy and still serves, or NULL. */
 struct endpoint *exchange_move_target(const struct exchange *exchange)
 {
 	const struct move *move = &exchange->move;
@@ -70,8 +70,8 @@
 		       : NULL;
 }
 
-/* Asks the engine that has the whole copy to go on with the run. */
-void exchange_move_go_on(struct exchange *exchange)
+/* Asks the engine that has the complete copy to continue the run. */
+void exchange_move_continue(struct exchange *exchange)
 {
 	struct endpoint *target = exchange_move_target(exchange);
 	char *source = g_strdup(exchange->leg->endpoint_address);
@@ -80,7 +80,7 @@
 	counters_add(exchange->gateway->options.counters, COUNTER_GATEWAY_MOVES,
 		     1);
 	exchange_move_clear(exchange);
-	exchange->move.state = COPY_GIVEN_UP; /* once for each engine */
+	exchange->move.state = COPY_GIVEN_UP; /* one move per leg */
 	exchange_hand_over(exchange, target, source, handle, "copied");
 	g_free(source);
 	g_free(handle);
@@ -99,7 +99,7 @@
 			    (guint)size);
 }
 
-static void move_take_copy(struct exchange *exchange, char *handle)
+static void move_accept_copy(struct exchange *exchange, char *handle)
 {
 	struct move *move = &exchange->move;
 
@@ -122,7 +122,7 @@
 	if (exchange->move.status != STATUS_OK)
 		exchange_move_fail(exchange, "refused");
 	else if (exchange->gateway->dialect->read_move(body, &answer))
-		move_take_copy(exchange, answer.handle);
+		move_accept_copy(exchange, answer.handle);
 	else
 		exchange_move_fail(exchange, "unreadable");
 	g_bytes_unref(body);
@@ -176,7 +176,7 @@
 		exchange_move_fail(exchange, error.detail);
 }
 
-/* Has the engine copy the generation to another one, if any has room. */
+/* Starts to copy the generation to another engine, if any has capacity. */
 void exchange_move_begin(struct exchange *exchange)
 {
 	struct gateway *gateway = exchange->gateway;
@@ -187,7 +187,7 @@
 	exchange_wish(exchange, &wish);
 	wish.avoid_also = exchange->leg->endpoint_id;
 	wish.failure_domain = leg_endpoint(exchange->leg)->said->failure_domain;
-	wish.far_weight = FAR_COPY_WEIGHT;
+	wish.far_weight = OTHER_DOMAIN_WEIGHT;
 	target = endpoint_choose_rescue(gateway->registry, &wish);
 	if (!target)
 		return;
@@ -200,7 +200,7 @@
 	move_send(exchange);
 }
 
-/* Forgets a move; its call, if any, is closed. */
+/* Resets the move: closes its call and uncounts the copy at the target. */
 void exchange_move_clear(struct exchange *exchange)
 {
 	struct move *move = &exchange->move;
--- a/adapters/gateway/exchange_recover.c
+++ b/adapters/gateway/exchange_recover.c
@@ -3,19 +3,23 @@
 #include <string.h>
 
 /*
- * What becomes of a request whose endpoint failed, leaves or is silent.
+ * Recovery of a request whose endpoint failed, leaves or is silent: retry, run
+ * taken over from a copy, or error.
  */
 
-/* An endpoint in reach takes a connection within a few ms. */
+/* A reachable endpoint accepts a connection within a few ms. */
 #define CONNECT_TIMEOUT_US (600 * 1000)
 
-/* An idempotent request that waits so many times its aim goes elsewhere. */
-#define SLOW_AIMS 2.5
+/*
+ * An idempotent request without an answer after this multiple of its route's
+ * first_answer_us is sent to another endpoint.
+ */
+#define SLOW_ANSWER_FACTOR 2.5
 
-/* Among reporters, this node; the others are told apart by incarnation. */
-#define OWN_WORD 1
+/* This node's reporter id; other nodes are identified by incarnation. */
+#define OWN_REPORTER 1
 
-/* Engines that may break off a run before it is given up. */
+/* Engines that may crash during a run before it is given up. */
 #define MAX_CRASHES 3
 
 static bool has_backup(const struct exchange *exchange)
@@ -27,7 +31,7 @@
 	       !exchange->copy_failed;
 }
 
-/* Since its engine's notice; 0: there is none. */
+/* Time since the engine announced that it leaves; 0: it has not. */
 static int64_t leg_under_notice_us(const struct leg *leg)
 {
 	const struct endpoint *endpoint = leg_endpoint(leg);
@@ -37,8 +41,8 @@
 	return MAX(leg->exchange->gateway->now_us - endpoint->since_us, 1);
 }
 
-static void read_asked(const struct exchange *exchange,
-		       struct evacuation_input *input)
+static void read_next_leg(const struct exchange *exchange,
+			  struct evacuation_input *input)
 {
 	const struct leg *next = exchange->next;
 
@@ -66,10 +70,11 @@
 {
 	const struct leg *leg = exchange->leg;
 	const struct endpoint *backup = leg_backup(leg);
-	int64_t heard_us = leg->heard_us ? leg->heard_us : leg->sent_us;
+	int64_t last_received_us =
+		leg->last_received_us ? leg->last_received_us : leg->sent_us;
 	struct evacuation_input input = {
 		.under_notice_us = leg_under_notice_us(leg),
-		.silent_us = exchange->gateway->now_us - heard_us,
+		.silent_us = exchange->gateway->now_us - last_received_us,
 		.has_begun = leg->begun_us != 0,
 		.begun_us = exchange->gateway->now_us - leg->begun_us,
 		.ends_in_time = evacuation_ends_in_time(
@@ -85,14 +90,14 @@
 	};
 
 	read_copy(exchange, &input);
-	read_asked(exchange, &input);
+	read_next_leg(exchange, &input);
 	return input;
 }
 
-/* Where a run can go on whose engine is lost. */
+/* The copy from which a run can continue once its engine is lost. */
 struct copy_place {
 	struct endpoint *endpoint; /* NULL: nowhere */
-	char *address;		   /* as the copy is named, with handle */
+	char *address;		   /* names the copy together with handle */
 	char *handle;
 };
 
@@ -112,7 +117,7 @@
 		return place;
 	input = read_input(exchange);
 	input.broke_off =
-		result != RESULT_SLOW && !exchange->leg->is_out_of_reach;
+		result != RESULT_SLOW && !exchange->leg->has_timed_out;
 	switch (evacuation_source(&input)) {
 	case EVACUATION_FROM_COPY:
 		place.endpoint = exchange_move_target(exchange);
@@ -131,10 +136,10 @@
 }
 
 /*
- * A request may crash every engine that begins to run it, and each take-over
- * would hand it to the next. It is counted at the engines that broke off
- * without a notice, told to all nodes, and refused when it comes again after
- * two of them; the run itself gets no fourth engine.
+ * A request may crash every engine that runs it, and each take-over would pass
+ * it to the next engine. Counts the engines that failed without a notice during
+ * the run and announces each to all nodes. After two of them a repeated request
+ * is refused; the run itself gets no fourth engine.
  */
 static void count_crash(struct exchange *exchange, enum attempt_result result)
 {
@@ -149,7 +154,7 @@
 				exchange->leg->endpoint_id, gateway->now_us);
 	gateway_peers_tell_crash(gateway, exchange->fingerprint,
 				 exchange->leg->endpoint_id);
-	gateway_take_failure(gateway, OWN_WORD, exchange->leg->endpoint_id);
+	gateway_take_failure(gateway, OWN_REPORTER, exchange->leg->endpoint_id);
 }
 
 static void count_failure(struct exchange *exchange, enum attempt_result result)
@@ -169,7 +174,7 @@
 		endpoint_health_put_aside(&endpoint->health, now_us);
 }
 
-/* How long its engine has made events; -1: none yet, so no copy of them. */
+/* Time since the first event; -1: none yet, so no copy exists. */
 static int64_t leg_run_ms(const struct leg *leg)
 {
 	if (!leg->begun_us)
@@ -255,7 +260,7 @@
 		     COUNTER_GATEWAY_TAKE_OVERS, 1);
 }
 
-/* Continues a run whose engine is lost from the copy of it. */
+/* Continues a run from its copy after its engine was lost. */
 static void take_over(struct exchange *exchange, const struct copy_place *place,
 		      const char *reason)
 {
@@ -270,7 +275,11 @@
 		exchange_fail_leg(exchange, RESULT_NOT_SENT, error.detail);
 }
 
-/* The serving leg gave no whole answer: goes on, or ends the request. */
+/*
+ * The serving leg failed before a complete answer: continues with the next leg
+ * if one was asked, else retries the request, takes the run over from a copy,
+ * or ends the request and frees the exchange.
+ */
 void exchange_fail_leg(struct exchange *exchange, enum attempt_result result,
 		       const char *detail)
 {
@@ -281,8 +290,8 @@
 		exchange_promote_next(exchange);
 		return;
 	}
-	/* It was sent and said nothing: it may have run. */
-	if (!exchange->leg->has_answered &&
+	/* It was sent and got no answer: it may have run. */
+	if (!exchange->leg->head_received &&
 	    (result == RESULT_BROKEN || result == RESULT_SLOW))
 		exchange->runs++;
 	count_crash(exchange, result);
@@ -295,7 +304,7 @@
 		exchange_send_new(exchange);
 		break;
 	case RECOVERY_TAKE_OVER:
-		g_assert(place.endpoint); /* decided only with a ready copy */
+		g_assert(place.endpoint); /* requires copy_is_ready */
 		take_over(exchange, &place, attempt_result_name(result));
 		break;
 	case RECOVERY_REFUSE:
@@ -314,9 +323,9 @@
 }
 
 /*
- * Asks another engine to go on with a run while its own still does. The old
- * leg is let go when the new one answers. Without a retry in the budget the
- * run stays where it is, and the next step asks again.
+ * Asks another engine to continue a run while the current one still runs it.
+ * The old leg is released when the new one answers. Without a retry in the
+ * budget the run stays at its engine, and the next step asks again.
  */
 void exchange_hand_over(struct exchange *exchange, struct endpoint *to,
 			const char *copy_address, const char *copy_name,
@@ -333,7 +342,7 @@
 		exchange_drop_next(exchange, error.detail);
 }
 
-/* The new engine has the run: the old one is let go. */
+/* The new engine has taken the run over: releases the old one. */
 void exchange_promote_next(struct exchange *exchange)
 {
 	drop_leg(exchange);
@@ -342,7 +351,7 @@
 	exchange->copy_failed = false;
 }
 
-/* The new engine does not have the run: the old one goes on. */
+/* The new engine failed to take the run over: the old one continues it. */
 void exchange_drop_next(struct exchange *exchange, const char *reason)
 {
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "take_over_failed",
@@ -370,12 +379,12 @@
 	const struct exchange *exchange = leg->exchange;
 	const struct route *route = exchange->route;
 
-	return route->kind == ROUTE_IDEMPOTENT && !leg->has_answered &&
+	return route->kind == ROUTE_IDEMPOTENT && !leg->head_received &&
 	       route->first_answer_us > 0 &&
 	       exchange->runs + 1 < route->max_attempts &&
 	       exchange->sends < route->max_attempts &&
 	       exchange->gateway->now_us - leg->sent_us >
-		       SLOW_AIMS * (double)route->first_answer_us;
+		       SLOW_ANSWER_FACTOR * (double)route->first_answer_us;
 }
 
 static void step_generation(struct exchange *exchange)
@@ -395,7 +404,7 @@
 						     : "timeout");
 		break;
 	case EVACUATION_ASK_COPY:
-		exchange_move_go_on(exchange);
+		exchange_move_continue(exchange);
 		break;
 	case EVACUATION_ASK_BACKUP:
 		exchange_hand_over(exchange, backup, backup->said->address,
@@ -413,7 +422,7 @@
 	}
 }
 
-/* Looks after the time: deadlines, silence, engines that leave. */
+/* Handles deadlines, connect timeouts, silent and leaving engines. */
 void exchange_step(struct exchange *exchange)
 {
 	struct gateway *gateway = exchange->gateway;
@@ -440,7 +449,8 @@
 }
 
 /*
- * This process stood still: what endpoints said meanwhile is still to be read.
+ * Shifts the timers after a pause of this process of stood_us: data that the
+ * endpoints sent meanwhile is still unread.
  */
 void exchange_excuse(struct exchange *exchange, int64_t stood_us)
 {
@@ -451,7 +461,7 @@
 		if (!legs[i])
 			continue;
 		legs[i]->sent_us += stood_us;
-		if (legs[i]->heard_us)
-			legs[i]->heard_us += stood_us;
+		if (legs[i]->last_received_us)
+			legs[i]->last_received_us += stood_us;
 	}
 }
--- a/adapters/gateway/exchange_state.h
+++ b/adapters/gateway/exchange_state.h
@@ -14,30 +14,31 @@
 G_BEGIN_DECLS
 
 /*
- * The request at one endpoint, and what this node counts there for it: room at
- * the endpoint, and room for a copy at the backup engine.
+ * One dispatch of a request to one endpoint, with the load that this node
+ * counts for it: at the endpoint, and for a copy at the backup engine.
  */
 struct leg {
 	struct exchange *exchange;
-	struct attempt *attempt; /* NULL once it has failed */
+	struct attempt *attempt; /* NULL if it could not start */
 	char *endpoint_id;
 	char *endpoint_address;
 	char *backup_id; /* engine that keeps a copy, or NULL */
 	char *backup_address;
-	int64_t backup_known_us;      /* which start of that engine was asked */
+	int64_t backup_known_us;      /* start of that engine that was asked */
 	struct event_scanner *events; /* NULL: no event stream */
 	int64_t tokens;		      /* counted at both engines */
-	int64_t unread_tokens;	      /* of the prompt */
+	int64_t unread_tokens;	      /* of the prompt, not yet processed */
 	int64_t sent_us;
-	int64_t begun_us;     /* first event; 0: none */
-	int64_t heard_us;     /* last event; 0: none */
-	int32_t status;	      /* the endpoint's; 0: none has come */
-	bool goes_on;	      /* takes a run over */
-	bool has_answered;    /* its head has come */
-	bool has_gone_on;     /* took a run over and has made an event */
-	bool is_out_of_reach; /* its connection timed out */
+	int64_t begun_us;	  /* first event; 0: none yet */
+	int64_t last_received_us; /* last event bytes; 0: none yet */
+	int32_t status;		  /* of the endpoint; 0: no head yet */
+	bool is_takeover;	  /* continues a run from a copy */
+	bool head_received;	  /* its head has been received */
+	bool has_continued;	  /* a takeover has sent an event */
+	bool has_timed_out;	  /* its connection timed out */
 };
 
+/* The copy of a generation's memory from a leaving engine to another one. */
 struct move {
 	enum evacuation_copy state;
 	struct attempt *call;
@@ -46,13 +47,13 @@
 	int64_t since_us;
 	char *target_id;
 	char *target_address;
-	int64_t target_known_us; /* which start of that engine */
-	char *handle;		 /* names the copy, once it is whole */
+	int64_t target_known_us; /* start of that engine that was asked */
+	char *handle;		 /* names the copy once it is complete */
 	int64_t tokens;		 /* counted at the target */
-	int32_t failures;	 /* targets that had no room */
+	int32_t failures;	 /* copies that failed, for this leg */
 };
 
-/* One request of a caller, from its last byte to the end of its answer. */
+/* A caller's request, from its last byte received to the end of its answer. */
 struct exchange {
 	struct gateway *gateway;
 	struct caller *caller;
@@ -68,32 +69,32 @@
 	int64_t deadline_us;
 	int64_t expected_tokens; /* of the answer; 0: no generation */
 
-	uint64_t question;     /* to the home, for an engine; 0: none */
-	int64_t asked_home_us; /* when it was asked */
-	char *chosen_backup;   /* the home's word for the next leg */
+	uint64_t question;     /* id of the request to the home; 0: none */
+	int64_t asked_home_us; /* when it was sent */
+	char *chosen_backup;   /* from the home, for the next leg */
 
-	struct leg *leg;  /* NULL between two */
-	struct leg *next; /* asked to go on while leg still does, or NULL */
+	struct leg *leg;  /* NULL between two dispatches */
+	struct leg *next; /* takes over while leg still runs, or NULL */
 	struct move move;
-	GPtrArray *tried; /* char *: ids */
+	GPtrArray *tried; /* char *: ids of endpoints to avoid */
 	int32_t runs;
 	int32_t sends;
 	int32_t take_overs;
 	bool copy_failed;     /* the backup engine had no copy */
-	int32_t crashes;      /* engines that broke off while they ran it */
-	uint64_t fingerprint; /* the same for a request sent again */
+	int32_t crashes;      /* engines that failed while running it */
+	uint64_t fingerprint; /* the same when the request is repeated */
 
 	struct endpoint_answer said;
 	int32_t status;
 	GString *answer_head;	 /* fields for the caller */
-	GByteArray *answer_body; /* held back until it is whole */
-	int64_t answer_size;	 /* -1: not said */
-	bool answer_begun;	 /* the caller has a part of it */
+	GByteArray *answer_body; /* buffered until it is complete */
+	int64_t answer_size;	 /* -1: unknown */
+	bool answer_begun;	 /* a part was sent to the caller */
 	bool is_chunked;	 /* towards the caller */
 	int64_t last_event;
 	int64_t event_count;
 	int64_t first_event_us;
-	int64_t passed_us; /* last event to the caller */
+	int64_t forwarded_us; /* last event sent to the caller */
 	int64_t longest_pause_us;
 };
 
@@ -105,8 +106,8 @@
 	      struct error *error);
 struct endpoint *leg_endpoint(const struct leg *leg);
 struct endpoint *leg_backup(const struct leg *leg);
-void leg_prompt_read(struct leg *leg);
-void leg_plan_tokens(struct leg *leg, int64_t tokens);
+void leg_mark_prompt_read(struct leg *leg);
+void leg_set_tokens(struct leg *leg, int64_t tokens);
 int64_t exchange_held_tokens(const struct exchange *exchange);
 
 /* exchange.c */
@@ -142,7 +143,7 @@
 
 /* exchange_move.c */
 void exchange_move_begin(struct exchange *exchange);
-void exchange_move_go_on(struct exchange *exchange);
+void exchange_move_continue(struct exchange *exchange);
 void exchange_move_fail(struct exchange *exchange, const char *reason);
 struct endpoint *exchange_move_target(const struct exchange *exchange);
 void exchange_move_clear(struct exchange *exchange);
--- a/adapters/gateway/leg.c
+++ b/adapters/gateway/leg.c
@@ -2,23 +2,29 @@
 
 #include <string.h>
 
-/* Made by a generation while others are placed; about three seconds. */
-#define AHEAD_TOKENS 384
+/*
+ * Output that is counted ahead: what a generation produces while others are
+ * placed, in about three seconds.
+ */
+#define PLANNED_AHEAD_TOKENS 384
 
-/* A generation that is longer than was thought goes on for a while. */
-#define LEAST_LEFT_TOKENS 128
+/*
+ * Fewest remaining tokens assumed, as a generation may exceed its expected
+ * length.
+ */
+#define MIN_REMAINING_TOKENS 128
 
-/* Shorter answers end before a backup of them would be of use. */
-#define BACKUP_FROM_TOKENS 64
+/* Shorter answers end before a backup could be of use. */
+#define MIN_BACKUP_TOKENS 64
 
-/* The endpoint of the leg; NULL: forgotten meanwhile. */
+/* Returns the leg's endpoint, or NULL if the registry has removed it. */
 struct endpoint *leg_endpoint(const struct leg *leg)
 {
 	return registry_find(leg->exchange->gateway->registry,
 			     leg->endpoint_id);
 }
 
-/* The engine that keeps a copy; NULL: none, or forgotten. */
+/* Returns the backup engine, or NULL if there is none or it was removed. */
 struct endpoint *leg_backup(const struct leg *leg)
 {
 	if (!leg->backup_id)
@@ -44,8 +50,8 @@
 	leg->exchange->gateway->home_untold = true;
 }
 
-/* The prompt has been read at the endpoint. */
-void leg_prompt_read(struct leg *leg)
+/* Records that the endpoint has processed the prompt. */
+void leg_mark_prompt_read(struct leg *leg)
 {
 	if (leg->unread_tokens == 0)
 		return;
@@ -54,8 +60,11 @@
 	leg_count(leg, 1);
 }
 
-/* The generation now holds so many tokens; others hear of it in their time. */
-void leg_plan_tokens(struct leg *leg, int64_t tokens)
+/*
+ * Sets the tokens counted for the generation. This alone triggers no update to
+ * the other nodes or the home: they get it with the next one.
+ */
+void leg_set_tokens(struct leg *leg, int64_t tokens)
 {
 	struct gateway *gateway = leg->exchange->gateway;
 	bool was_changed = gateway->held_changed;
@@ -69,32 +78,34 @@
 }
 
 /*
- * What a generation is counted with: what it has, and what it will make before
- * the next look at most; 0 for other requests. Counting each at its expected
- * end instead holds a third of the memory free for nothing, since generations
- * are at all stages at once.
+ * Returns the tokens to count for a generation: its prompt, its output so far
+ * and at most its output until the next update; 0 for other requests. Counting
+ * the expected final length instead would leave a third of the memory unused,
+ * since generations are at all stages at once.
  */
 int64_t exchange_held_tokens(const struct exchange *exchange)
 {
-	int64_t made, left;
+	int64_t generated, remaining;
 
 	if (!exchange_is_generation(exchange))
 		return 0;
-	made = exchange->event_count *
-	       exchange->service->engine.tokens_per_event;
-	left = MAX(exchange->expected_tokens - made, LEAST_LEFT_TOKENS);
-	return exchange->asked.prompt_tokens + made + MIN(left, AHEAD_TOKENS);
+	generated = exchange->event_count *
+		    exchange->service->engine.tokens_per_event;
+	remaining = MAX(exchange->expected_tokens - generated,
+			MIN_REMAINING_TOKENS);
+	return exchange->asked.prompt_tokens + generated +
+	       MIN(remaining, PLANNED_AHEAD_TOKENS);
 }
 
-/* Whether a copy of the run would be of use. */
+/* Returns whether a backup copy of the run would be of use. */
 bool exchange_wants_backup(const struct exchange *exchange)
 {
 	return exchange_is_generation(exchange) &&
-	       exchange->expected_tokens >= BACKUP_FROM_TOKENS;
+	       exchange->expected_tokens >= MIN_BACKUP_TOKENS;
 }
 
-/* The engine that the home chose for it, where this node knows no better. */
-static struct endpoint *leg_find_chosen(const struct leg *leg)
+/* Returns the backup that the home selected, or NULL if it is not usable. */
+static struct endpoint *leg_find_home_backup(const struct leg *leg)
 {
 	const struct exchange *exchange = leg->exchange;
 	struct endpoint *backup = registry_find(exchange->gateway->registry,
@@ -109,13 +120,13 @@
 	struct endpoint_wish wish;
 
 	if (exchange->chosen_backup)
-		return leg_find_chosen(leg);
+		return leg_find_home_backup(leg);
 	exchange_wish(exchange, &wish);
 	wish.avoid_also = leg->endpoint_id;
 	return endpoint_choose_backup(exchange->gateway->registry, &wish);
 }
 
-/* Picks the engine that keeps a copy while the leg's endpoint runs it. */
+/* Selects the engine that keeps a copy while the leg's endpoint runs it. */
 static void leg_choose_backup(struct leg *leg)
 {
 	struct exchange *exchange = leg->exchange;
@@ -132,7 +143,10 @@
 	leg->backup_known_us = backup->known_us;
 }
 
-/* A leg of the exchange at the endpoint, counted there from now on. */
+/*
+ * Creates a leg at the endpoint and counts its load there. With a copy_address
+ * it continues a run from a copy. The result is freed with leg_destroy.
+ */
 struct leg *leg_create(struct exchange *exchange, struct endpoint *endpoint,
 		       const char *copy_address)
 {
@@ -143,7 +157,7 @@
 	leg->endpoint_address = g_strdup(endpoint->said->address);
 	leg->tokens = exchange_held_tokens(exchange);
 	leg->sent_us = exchange->gateway->now_us;
-	leg->goes_on = copy_address != NULL;
+	leg->is_takeover = copy_address != NULL;
 	if (!copy_address)
 		leg->unread_tokens = exchange->asked.prompt_tokens;
 	leg_choose_backup(leg);
@@ -152,7 +166,7 @@
 	return leg;
 }
 
-/* Ends the attempt and gives back what was counted. NULL is allowed. */
+/* Ends the attempt, uncounts its load and frees the leg. NULL is allowed. */
 void leg_destroy(struct leg *leg)
 {
 	if (!leg)
@@ -168,14 +182,14 @@
 }
 
 /*
- * A run that goes on comes before all others: its caller is in the middle of
- * reading, and what it lacks is read in one step of the engine.
+ * A run that is taken over has the highest priority, 0: its caller is in the
+ * middle of reading, and one step of the engine processes the missing tokens.
  */
 static int32_t leg_priority(const struct leg *leg)
 {
 	const struct exchange *exchange = leg->exchange;
 
-	if (leg->goes_on)
+	if (leg->is_takeover)
 		return 0;
 	if (exchange->organisation &&
 	    exchange->organisation->route_priority >= 0)
@@ -211,11 +225,12 @@
 }
 
 /*
- * Sends the request, as a new run or from a copy of its memory. False and an
- * error where no connection could be begun.
+ * Sends the request, as a new run or as one continued from a copy of its
+ * memory. Returns false and sets error if no connection could be started.
  *
- * A request that may run once gets a connection of its own: on a kept one a
- * close that crosses the request would leave nobody knowing whether it runs.
+ * A request that may run only once gets a connection of its own: if the
+ * endpoint closed a reused one while the request was on its way, this node
+ * could not tell whether it runs.
  */
 bool leg_send(struct leg *leg, const char *copy_address, const char *copy_name,
 	      struct error *error)
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <vector>
 
-/* A gateway n1 without listeners and a running loop; n0 is the other node. */
+/* A gateway on node n1 without listeners or a running loop; n0 is its peer. */
 class Gateway : public testing::Test
 {
       protected:
@@ -120,8 +120,8 @@
 		log_destroy(log);
 	}
 
-	/* n0 says which configuration it has and whether it has the store. */
-	void TakeStanding(int64_t version, bool reaches_store)
+	/* n0 announces its configuration and if it reaches the store. */
+	void ReceiveStanding(int64_t version, bool reaches_store)
 	{
 		struct peer_message *message =
 			peer_message_create(PEER_STANDING);
@@ -136,8 +136,8 @@
 		peer_message_destroy(message);
 	}
 
-	/* n0 asks for a configuration newer than its own. */
-	void TakeAsk(int64_t version)
+	/* n0 requests a configuration newer than the version it has. */
+	void ReceiveRoutesAsk(int64_t version)
 	{
 		struct peer_message *message =
 			peer_message_create(PEER_ROUTES_ASK);
@@ -149,9 +149,8 @@
 		peer_message_destroy(message);
 	}
 
-	/* The store tells of an endpoint: it registers, or its entry is gone.
-	 */
-	void TakeEntry(int64_t revision, bool is_removed)
+	/* The store sends a new or a removed registration of an endpoint. */
+	void ReceiveEntry(int64_t revision, bool is_removed)
 	{
 		GPtrArray *list = registration_list_create();
 		struct registration *said = g_new0(struct registration, 1);
@@ -172,7 +171,7 @@
 		return (size_t)std::count(sent.begin(), sent.end(), type);
 	}
 
-	int64_t version_after(int64_t revision)
+	int64_t ApplyTableVersion(int64_t revision)
 	{
 		struct config *config = config_create();
 		GBytes *document = g_bytes_new(nullptr, 0);
@@ -189,69 +188,74 @@
 };
 
 /*
- * A caller's new key works, and then an answer of the store that was late, or
- * a peer that lags, brings the configuration from before it. The key must go
- * on working.
+ * Guards against a caller's new key that stops working: a late answer of the
+ * store, or a lagging peer, delivers the configuration from before the key.
  */
 TEST_F(Gateway, NeverGoesBackToAnOlderConfiguration)
 {
 	EXPECT_EQ(-1, gateway_table_version(gateway));
-	EXPECT_EQ(5, version_after(5));
-	EXPECT_EQ(5, version_after(4));
-	EXPECT_EQ(5, version_after(0));
-	EXPECT_EQ(6, version_after(6));
-	EXPECT_EQ(6, version_after(5));
+	EXPECT_EQ(5, ApplyTableVersion(5));
+	EXPECT_EQ(5, ApplyTableVersion(4));
+	EXPECT_EQ(5, ApplyTableVersion(0));
+	EXPECT_EQ(6, ApplyTableVersion(6));
+	EXPECT_EQ(6, ApplyTableVersion(5));
 }
 
-/* Guards against new work on an engine that left, while a peer is cut off. */
-TEST_F(Gateway, BelievesARemovalThoughASentinelLostTheStore)
+/*
+ * Guards against new requests to an engine that has left, while a peer is
+ * partitioned from the store.
+ */
+TEST_F(Gateway, AppliesARemovalThoughASentinelLostTheStore)
 {
-	version_after(5);
+	ApplyTableVersion(5);
 	gateway_take_store(gateway, true);
 	gateway->store_doubt.settles_us = 0;
-	TakeEntry(1, false);
-	TakeStanding(5, true);
-	TakeStanding(5, false);
+	ReceiveEntry(1, false);
+	ReceiveStanding(5, true);
+	ReceiveStanding(5, false);
 	sent.clear();
-	TakeEntry(2, true);
+	ReceiveEntry(2, true);
 	EXPECT_FALSE(registry_has_usable(gateway->registry));
 	EXPECT_EQ(1u, SentCount(PEER_STANDING));
 }
 
-/* Guards against copies of a large configuration that fill a node's link. */
+/* Guards against repeated copies of a large configuration filling a link. */
 TEST_F(Gateway, SendsNoSecondCopyOfItsConfigurationUnasked)
 {
-	version_after(5);
+	ApplyTableVersion(5);
 	for (int i = 0; i < 5; i++)
-		TakeStanding(4, false);
+		ReceiveStanding(4, false);
 	EXPECT_LE(SentCount(PEER_ROUTES), 1u);
 }
 
-/* Guards against a node that waits for its own store while others know more. */
+/*
+ * Guards against a node that only waits for its own store while others have a
+ * newer configuration.
+ */
 TEST_F(Gateway, AsksANodeForANewerConfigurationAndGivesItsOwn)
 {
-	TakeStanding(7, true);
+	ReceiveStanding(7, true);
 	gateway->fetch.behind_us = 1;
 	gateway_routes_step(gateway);
 	EXPECT_EQ(1u, SentCount(PEER_ROUTES_ASK));
 	gateway_routes_step(gateway);
 	EXPECT_EQ(1u, SentCount(PEER_ROUTES_ASK));
-	version_after(7);
-	TakeAsk(7);
+	ApplyTableVersion(7);
+	ReceiveRoutesAsk(7);
 	EXPECT_EQ(0u, SentCount(PEER_ROUTES));
-	TakeAsk(6);
+	ReceiveRoutesAsk(6);
 	EXPECT_EQ(1u, SentCount(PEER_ROUTES));
 }
 
-/* Guards against a 404 for a new route of which other nodes know already. */
+/* Guards against a 404 for a new route that other nodes already have. */
 TEST_F(Gateway, IsNotCurrentWhileANodeKnowsMore)
 {
 	gateway_take_store(gateway, true);
-	version_after(5);
-	TakeStanding(5, true);
+	ApplyTableVersion(5);
+	ReceiveStanding(5, true);
 	EXPECT_TRUE(gateway_is_current(gateway));
-	TakeStanding(7, true);
+	ReceiveStanding(7, true);
 	EXPECT_FALSE(gateway_is_current(gateway));
-	version_after(7);
+	ApplyTableVersion(7);
 	EXPECT_TRUE(gateway_is_current(gateway));
 }
