--- a/adapters/gateway/dialect.h
+++ b/adapters/gateway/dialect.h
@@ -11,46 +11,47 @@
 G_BEGIN_DECLS
 
 /*
- * How callers and endpoints spell what the gateway needs to know. One
- * implementation a platform; it translates and decides nothing.
+ * Translates between the gateway and the formats of callers and endpoints.
+ * Each platform has one implementation, which makes no decisions.
  */
 
-/* What a caller's request says. Texts live as long as its head. */
+/* Fields of a caller's request. The strings live as long as its head. */
 struct caller_request {
 	const char *host;
 	const char *id;
 	const char *key;     /* NULL: none */
-	int64_t patience_us; /* how long the caller waits; 0: not said */
+	int64_t patience_us; /* how long the caller waits; 0: not given */
 	int64_t prompt_tokens;
-	int64_t max_tokens;	 /* of the answer; 0: not said */
-	int64_t expected_tokens; /* the caller's guess; 0: not said */
+	int64_t max_tokens;	 /* of the answer; 0: not given */
+	int64_t expected_tokens; /* the caller's estimate; 0: not given */
 };
 
-/* What an endpoint is told beside the caller's own fields. */
+/* Fields that are sent to an endpoint in addition to the caller's. */
 struct endpoint_request {
-	const char *endpoint_id;  /* any other one must not run it */
+	const char *endpoint_id;  /* any other endpoint refuses it */
 	const char *organisation; /* NULL: none */
-	bool drops_key; /* the endpoint must not see the caller's key */
+	bool drops_key;		  /* don't forward the caller's key */
 	int64_t patience_us;
-	int32_t priority; /* of a generation, 0 first; -1: not said */
+	int32_t priority; /* of a generation, 0 highest; -1: not given */
 	bool is_generation;
 	const char *backup_address; /* keep a copy of the run there; or NULL */
-	const char *copy_address;   /* go on from the copy there; or NULL */
-	const char *copy_name;	    /* which copy */
+	const char *copy_address;   /* continue from the copy there; or NULL */
+	const char *copy_name;	    /* handle of that copy */
 	int64_t after_event;	    /* last event delivered; -1: none */
 	bool keep_connection;
 };
 
-/* What an endpoint's answer says beside status and body. */
+/* Fields of an endpoint's answer other than status and body. */
 struct endpoint_answer {
 	bool did_not_run;
-	bool promises_not_run; /* to callers, by its status alone */
-	bool is_own; /* written by an endpoint, not by something before it */
+	bool promises_not_run; /* callers conclude it from the status */
+	bool is_own; /* from the endpoint, not from a proxy before it */
 	bool is_event_stream;
-	int64_t keep_alive_us; /* the connection may be idle so long; -1 */
+	int64_t keep_alive_us; /* allowed idle time of the connection; -1: none
+				*/
 };
 
-/* A copy of a generation's memory, made by its engine when asked. */
+/* A copy of a generation's memory that its engine made on request. */
 struct move_answer {
 	char *handle;
 };
@@ -70,7 +71,7 @@
 	bool (*read_move)(GBytes *body, struct move_answer *answer);
 	void (*write_report)(const char *address, GString *out);
 	bool (*read_report_leaves)(GBytes *body);
-	/* The answer to a question about the nodes themselves; NULL: 404. */
+	/* Requests about the nodes themselves; any other one gets a 404. */
 	GBytes *(*write_addresses)(const GPtrArray *addresses, int64_t keep_us);
 	bool (*is_ready_question)(const struct http_head *head);
 	bool (*is_address_question)(const struct http_head *head);
--- a/adapters/gateway/endpoint_pool.c
+++ b/adapters/gateway/endpoint_pool.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Idle connections kept to all endpoints; a node needs a few to each. */
-#define MAX_IDLE 64
+/* Idle connections to all endpoints together; a node needs a few to each. */
+#define MAX_IDLE_CONNECTIONS 64
 
 struct idle {
 	struct endpoint_pool *pool;
@@ -13,7 +13,7 @@
 };
 
 struct endpoint_pool {
-	GPtrArray *idle; /* owns struct idle; the latest used last */
+	GPtrArray *idle; /* owns struct idle; most recently used last */
 };
 
 static void idle_destroy(gpointer data)
@@ -25,28 +25,28 @@
 	g_free(idle);
 }
 
-static void idle_drop(struct idle *idle)
+static void idle_remove(struct idle *idle)
 {
 	g_ptr_array_remove(idle->pool->idle, idle);
 }
 
-/* No request waits: whatever comes now is an answer to nobody. */
+/* No request is pending, so any data received is unexpected. */
 static void on_received(void *data, const char *bytes, size_t size)
 {
 	(void)bytes;
 	(void)size;
-	idle_drop(data);
+	idle_remove(data);
 }
 
 static void on_ended(void *data)
 {
-	idle_drop(data);
+	idle_remove(data);
 }
 
 static void on_failed(void *data, const struct error *error)
 {
 	(void)error;
-	idle_drop(data);
+	idle_remove(data);
 }
 
 static const struct tcp_stream_events idle_events = {
@@ -55,7 +55,7 @@
 	.failed = on_failed,
 };
 
-/* A pool without connections. */
+/* Creates an empty pool. */
 struct endpoint_pool *endpoint_pool_create(void)
 {
 	struct endpoint_pool *pool = g_new0(struct endpoint_pool, 1);
@@ -64,7 +64,7 @@
 	return pool;
 }
 
-/* Closes all connections; NULL is allowed. */
+/* Closes all connections and frees the pool; NULL is allowed. */
 void endpoint_pool_destroy(struct endpoint_pool *pool)
 {
 	if (!pool)
@@ -73,7 +73,10 @@
 	g_free(pool);
 }
 
-/* The connection to the address that was used last; NULL: none is left. */
+/*
+ * Removes and returns the most recently used connection to the address; the
+ * caller owns it. NULL: there is none.
+ */
 struct tcp_stream *endpoint_pool_take(struct endpoint_pool *pool,
 				      const char *address, int64_t now_us)
 {
@@ -91,7 +94,7 @@
 	return NULL;
 }
 
-/* Keeps a connection until it is taken or its time is over. */
+/* Adds a connection, which the pool owns until it is taken or expires. */
 void endpoint_pool_give(struct endpoint_pool *pool, const char *address,
 			struct tcp_stream *stream, int64_t until_us)
 {
@@ -104,11 +107,11 @@
 	tcp_stream_set_owner(stream, &idle_events, idle);
 	tcp_stream_set_reading(stream, true);
 	g_ptr_array_add(pool->idle, idle);
-	if (pool->idle->len > MAX_IDLE)
+	if (pool->idle->len > MAX_IDLE_CONNECTIONS)
 		g_ptr_array_remove_index(pool->idle, 0);
 }
 
-/* Closes connections whose time is over. */
+/* Closes expired connections. */
 void endpoint_pool_step(struct endpoint_pool *pool, int64_t now_us)
 {
 	for (guint i = pool->idle->len; i-- > 0;) {
--- a/adapters/gateway/endpoint_pool.h
+++ b/adapters/gateway/endpoint_pool.h
@@ -9,8 +9,8 @@
 G_BEGIN_DECLS
 
 /*
- * Connections to endpoints that wait for another request, by address. One on
- * which the endpoint says anything meanwhile, or closes, is dropped.
+ * Idle connections to endpoints, by address, for use by later requests. A
+ * connection is dropped when the endpoint sends data on it or closes it.
  */
 struct endpoint_pool;
 
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -6,19 +6,18 @@
 
 #include <time.h>
 
-/* How exact timeouts are; a wake-up costs about 10 us of processor time. */
+/* Resolution of timeouts; a wake-up costs about 10 us of processor time. */
 #define TICK_MS 25
 
-/* Ticks later than this are a pause of the process, not a busy moment. */
-#define STOOD_STILL_US (250 * 1000)
+/* A tick that is later than this means that the process was paused. */
+#define PAUSE_MIN_US (250 * 1000)
 
-#define MAX_ASKERS 512
+#define MAX_STATUS_CALLERS 512
 
 /*
- * Microseconds that count also while the machine is suspended and don't jump
- * with the time of day: what is believed must age with the world, not with
- * this process. The monotonic clock stands still during a suspension, and
- * engines long gone would look fresh after it.
+ * Time in microseconds, independent of the time of day and counting while the
+ * machine is suspended. CLOCK_MONOTONIC stops during a suspension, so that the
+ * state of engines that left meanwhile would still look recent after it.
  */
 int64_t gateway_now_us(void)
 {
@@ -28,27 +27,30 @@
 	return (int64_t)now.tv_sec * G_USEC_PER_SEC + now.tv_nsec / 1000;
 }
 
-/* Version of the configuration in force; -1 before the first. */
+/* Version of the configuration in force; -1 before the first one. */
 int64_t gateway_table_version(const struct gateway *gateway)
 {
 	return gateway->table ? route_table_version(gateway->table) : -1;
 }
 
-/* Whether callers should be sent here. */
-bool gateway_takes_work(const struct gateway *gateway)
+/* Whether callers should send requests to this node. */
+bool gateway_accepts_requests(const struct gateway *gateway)
 {
 	return gateway->table && !gateway->drain_since_us &&
 	       registry_has_usable(gateway->registry);
 }
 
-/* Whether no newer configuration is known of, and one would have come. */
+/*
+ * Whether this node has the newest configuration: the store is reached and no
+ * node has announced a newer version.
+ */
 bool gateway_is_current(const struct gateway *gateway)
 {
 	return gateway->store_is_reached &&
 	       gateway_table_version(gateway) >= gateway->newest_version;
 }
 
-/* The retries of a service that this node may send. */
+/* This node's retry budget for a service; owned by the gateway. */
 struct retry_window *gateway_budget(struct gateway *gateway,
 				    const char *service)
 {
@@ -97,15 +99,16 @@
 	g_ptr_array_unref(addresses);
 }
 
-/* Questions about the nodes themselves. */
-static void on_question(void *data, struct caller *caller,
-			struct http_head *head, GByteArray *body)
+/* Answers requests about the nodes: readiness and addresses. */
+static void on_status_request(void *data, struct caller *caller,
+			      struct http_head *head, GByteArray *body)
 {
 	struct gateway *gateway = data;
 
 	gateway->now_us = gateway_now_us();
 	if (gateway->dialect->is_ready_question(head))
-		caller_answer(caller, gateway_takes_work(gateway) ? 200 : 503,
+		caller_answer(caller,
+			      gateway_accepts_requests(gateway) ? 200 : 503,
 			      NULL, "", 0);
 	else if (gateway->dialect->is_address_question(head))
 		answer_addresses(gateway, caller);
@@ -150,20 +153,20 @@
 }
 
 /*
- * After a pause of this process its engines look silent, though what they said
- * waits in the sockets: giving them up would lose runs that are well.
+ * After a pause of this process its engines look silent, although their data
+ * waits in the sockets. Treating them as failed would abort healthy runs.
  */
-static void gateway_excuse_exchanges(struct gateway *gateway, int64_t stood_us)
+static void gateway_excuse_pause(struct gateway *gateway, int64_t paused_us)
 {
 	GHashTableIter iter;
 	gpointer exchange;
 
 	g_hash_table_iter_init(&iter, gateway->exchanges);
 	while (g_hash_table_iter_next(&iter, &exchange, NULL))
-		exchange_excuse(exchange, stood_us);
+		exchange_excuse(exchange, paused_us);
 }
 
-/* Engines have a report of themselves, endpoints of plain services none. */
+/* Engines offer a load report, endpoints of plain services don't. */
 static bool endpoint_has_report(const struct gateway *gateway,
 				const struct endpoint *endpoint)
 {
@@ -177,9 +180,9 @@
 }
 
 /*
- * While the store is away, engines that run something of this node may leave
- * without a notice; and one whose removal is in doubt may be leaving, and get
- * work for as long as it is used.
+ * Polls the reports of endpoints that may be leaving without notice: those that
+ * run requests of this node while the store is unreachable, and those whose
+ * removal is in doubt, as they still get requests.
  */
 static void gateway_step_reports(struct gateway *gateway)
 {
@@ -203,17 +206,17 @@
 static gboolean on_tick(gpointer data)
 {
 	struct gateway *gateway = data;
-	int64_t stood_us = gateway_now_us() - gateway->tick_us;
+	int64_t paused_us = gateway_now_us() - gateway->tick_us;
 
-	if (gateway->tick_us && stood_us > STOOD_STILL_US)
-		gateway_excuse_exchanges(gateway, stood_us);
+	if (gateway->tick_us && paused_us > PAUSE_MIN_US)
+		gateway_excuse_pause(gateway, paused_us);
 	gateway->now_us = gateway_now_us();
 	gateway->tick_us = gateway->now_us;
 	shared_budgets_step(gateway->budgets, gateway_node_count(gateway),
 			    gateway->now_us);
 	gateway_step_exchanges(gateway);
 	caller_set_step(gateway->callers, gateway->now_us);
-	caller_set_step(gateway->askers, gateway->now_us);
+	caller_set_step(gateway->status_callers, gateway->now_us);
 	endpoint_pool_step(gateway->pool, gateway->now_us);
 	gateway_step_registry(gateway);
 	gateway_step_reports(gateway);
@@ -232,8 +235,8 @@
 		struct caller_set *set;
 	} wanted[] = {
 		{options->address, gateway->callers},
-		{options->ready_address, gateway->askers},
-		{options->directory_address, gateway->askers},
+		{options->ready_address, gateway->status_callers},
+		{options->directory_address, gateway->status_callers},
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(wanted); i++) {
@@ -247,7 +250,7 @@
 	return true;
 }
 
-static void on_report_leaves(void *data, const char *endpoint_id)
+static void on_report_leaving(void *data, const char *endpoint_id)
 {
 	struct gateway *gateway = data;
 	const struct endpoint *endpoint;
@@ -258,13 +261,13 @@
 	gateway_log_endpoint(gateway, endpoint_id, "its report");
 	endpoint = registry_find(gateway->registry, endpoint_id);
 	if (endpoint->presence == PRESENCE_GONE)
-		gateway_peers_tell(gateway, endpoint_id);
+		gateway_peers_announce_endpoint(gateway, endpoint_id);
 }
 
 /*
- * Begins to listen and to look after the time on the thread's main loop. Until
- * the first configuration every request is refused with a time to come back.
- * NULL and an error where an address can't be had.
+ * Creates a gateway that listens and runs timers on the thread's main loop.
+ * Until the first configuration every request is refused with a Retry-After.
+ * Returns NULL and sets the error if it can't listen on an address.
  */
 struct gateway *gateway_create(const struct gateway_options *options,
 			       const struct gateway_host *host,
@@ -283,8 +286,8 @@
 		.drained = on_drained,
 		.data = gateway,
 	};
-	const struct caller_handler questions = {
-		.request = on_question,
+	const struct caller_handler status_requests = {
+		.request = on_status_request,
 		.data = gateway,
 	};
 
@@ -301,13 +304,14 @@
 	quarantine_options_default(&quarantine);
 	gateway->quarantine = quarantine_create(&quarantine);
 	gateway->pool = endpoint_pool_create();
-	gateway->reports =
-		report_poll_create(gateway->dialect, on_report_leaves, gateway);
+	gateway->reports = report_poll_create(gateway->dialect,
+					      on_report_leaving, gateway);
 	gateway->callers =
 		caller_set_create(&requests, (size_t)options->max_connections);
-	gateway->askers = caller_set_create(&questions, MAX_ASKERS);
+	gateway->status_callers =
+		caller_set_create(&status_requests, MAX_STATUS_CALLERS);
 	gateway->grants = engine_grants_create(gateway->registry);
-	gateway->asking = g_hash_table_new(g_int64_hash, g_int64_equal);
+	gateway->home_requests = g_hash_table_new(g_int64_hash, g_int64_equal);
 	gateway->exchanges =
 		g_hash_table_new_full(NULL, NULL, exchange_destroy, NULL);
 	gateway->budgets = shared_budgets_create(&budgets, gateway->now_us);
@@ -321,7 +325,7 @@
 	return gateway;
 }
 
-/* Closes everything at once; NULL is allowed. */
+/* Closes all connections at once and frees the gateway; NULL is allowed. */
 void gateway_destroy(struct gateway *gateway)
 {
 	if (!gateway)
@@ -332,14 +336,14 @@
 		listener_destroy(gateway->listeners[i]);
 	g_hash_table_unref(gateway->exchanges);
 	caller_set_destroy(gateway->callers);
-	caller_set_destroy(gateway->askers);
+	caller_set_destroy(gateway->status_callers);
 	endpoint_pool_destroy(gateway->pool);
 	report_poll_destroy(gateway->reports);
 	shared_budgets_destroy(gateway->budgets);
 	g_hash_table_unref(gateway->peers);
 	quarantine_destroy(gateway->quarantine);
 	engine_grants_destroy(gateway->grants);
-	g_hash_table_unref(gateway->asking);
+	g_hash_table_unref(gateway->home_requests);
 	g_free(gateway->home_address);
 	registry_destroy(gateway->registry);
 	route_table_unref(gateway->table);
@@ -349,7 +353,7 @@
 	g_free(gateway);
 }
 
-/* Times and retries as the settings have them now. */
+/* Applies changed settings. The retry limit is percent plus extra. */
 void gateway_set_limits(struct gateway *gateway, int64_t drain_us,
 			int64_t address_keep_us, int64_t retry_percent,
 			int64_t retry_extra)
@@ -363,9 +367,9 @@
 }
 
 /*
- * Begins to stop: callers are sent elsewhere, those that still come are
- * served until shortly before the end, and streams that would outlast it are
- * refused.
+ * Begins to stop. Callers are directed to other nodes; requests that still
+ * arrive are served until shortly before the end, and streams that would
+ * outlast it are refused.
  */
 void gateway_drain(struct gateway *gateway)
 {
@@ -374,5 +378,5 @@
 	gateway->now_us = gateway_now_us();
 	gateway->drain_since_us = gateway->now_us;
 	caller_set_drain(gateway->callers);
-	gateway_peers_tell_drain(gateway);
+	gateway_peers_announce_drain(gateway);
 }
--- a/adapters/gateway/gateway.h
+++ b/adapters/gateway/gateway.h
@@ -18,32 +18,33 @@
 G_BEGIN_DECLS
 
 /*
- * Callers' requests passed on to endpoints by routes: each answered whole,
- * once, or visibly not. It knows the configuration and the endpoints from the
- * store and from the other nodes, and decides each request by itself.
+ * Forwards callers' requests to endpoints by routes. Each request gets one
+ * complete answer or a visible failure. The configuration and the endpoints
+ * come from the store and from the other nodes; each request is decided
+ * locally.
  */
 struct gateway_options {
 	const char *node_name;
 	const char *failure_domain;
-	const char *address;	       /* callers' requests */
+	const char *address;	       /* listens for requests */
 	const char *ready_address;     /* "": none */
 	const char *directory_address; /* "": none */
 	int64_t max_connections;
 	int64_t drain_us;	 /* from SIGTERM to the end */
-	int64_t address_keep_us; /* callers keep an answer so long */
-	int64_t retry_percent;	 /* sends beyond the first, of requests */
-	int64_t retry_extra;	 /* and so many more in a window, all nodes */
+	int64_t address_keep_us; /* callers cache the addresses */
+	int64_t retry_percent;	 /* resends, in % of requests */
+	int64_t retry_extra;	 /* plus these a window, all nodes */
 	int64_t retry_window_us;
-	int64_t home_from_nodes; /* one chooses engines for all */
+	int64_t home_from_nodes; /* fewer nodes: no home */
 	uint64_t seed;
 	struct log *log;
 	struct counters *counters;
 	const struct dialect *dialect;
 };
 
-/* What the gateway needs of the node it runs in. */
+/* Functions that the gateway calls in its node. */
 struct gateway_host {
-	/* To all of the addresses, char *; the message is its own then. */
+	/* Sends to all addresses (char *); takes ownership of the message. */
 	void (*send)(void *data, const GPtrArray *peer_addresses,
 		     struct peer_message *message);
 	struct peer_message *(*message)(void *data,
@@ -53,8 +54,8 @@
 	void *data;
 	struct route_table *(*decode)(void *store_data, GBytes *document,
 				      int64_t revision);
-	void (*read_store)(void *store_data); /* something newer is known of */
-	bool (*is_reading)(void *store_data); /* an answer of it arrives */
+	void (*read_store)(void *store_data); /* a newer version exists */
+	bool (*is_reading)(void *store_data); /* an answer is arriving */
 	void (*watch)(void *store_data, const struct store_watch *watch);
 	void *store_data;
 };
@@ -70,7 +71,7 @@
 			int64_t address_keep_us, int64_t retry_percent,
 			int64_t retry_extra);
 
-/* What the store says. */
+/* Input from the store. */
 void gateway_take_table(struct gateway *gateway, struct route_table *table,
 			GBytes *document, const char *source);
 void gateway_take_changes(struct gateway *gateway, const GPtrArray *list);
@@ -79,7 +80,7 @@
 void gateway_take_store(struct gateway *gateway, bool is_reached);
 void gateway_take_store_answer(struct gateway *gateway);
 
-/* What another node's gateway says. */
+/* Input from the gateway of another node. */
 void gateway_take_peer(struct gateway *gateway,
 		       const struct peer_message *message);
 
--- a/adapters/gateway/gateway_home.c
+++ b/adapters/gateway/gateway_home.c
@@ -5,24 +5,27 @@
 
 /*
  * One node, the home, chooses the engines of generations for all nodes of its
- * region; see core/gateway/engine_grants.h for what that is good for. It is a
- * hint like all that nodes tell one another: a home that is silent is passed by
- * and each node chooses by itself.
+ * region; core/gateway/engine_grants.h gives the reason. Its choice is a hint:
+ * if the home does not answer, each node chooses locally.
  */
 
 /*
- * An answer takes one way there and back, a few ms, and the home's turn. Losing
- * this much costs a caller less than a prompt behind two others.
+ * An answer takes one round trip, a few ms, and the home's processing time.
+ * Waiting this long in vain delays a caller less than two prompts ahead of its
+ * own at an engine.
  */
-#define ANSWER_US (100 * 1000)
+#define HOME_ANSWER_TIMEOUT_US (100 * 1000)
 
-/* Membership finds a dead node within 2.7 s; until then it isn't asked. */
-#define PASS_BY_US (2700 * 1000)
+/*
+ * No requests go to a silent home for this long: membership detects a dead node
+ * within 2.7 s.
+ */
+#define HOME_SKIP_US (2700 * 1000)
 
-/* Between two standings to the home: prompts are read in 0.2 to 0.4 s. */
-#define TELL_HOME_US (100 * 1000)
+/* Least time between standings to the home; a prompt takes 0.2 to 0.4 s. */
+#define HOME_ANNOUNCE_INTERVAL_US (100 * 1000)
 
-/* The home of the service; NULL: this node, or too few nodes for one. */
+/* The home of the service; NULL: this node is it, or too few nodes. */
 static const struct member *find_home(const struct gateway *gateway,
 				      const char *service)
 {
@@ -39,7 +42,7 @@
 	return home;
 }
 
-static void remember_home(struct gateway *gateway, const struct member *home)
+static void set_home_address(struct gateway *gateway, const struct member *home)
 {
 	if (g_strcmp0(gateway->home_address, home->peer_address) == 0)
 		return;
@@ -47,8 +50,8 @@
 	gateway->home_address = g_strdup(home->peer_address);
 }
 
-static struct peer_message *question_create(const struct exchange *exchange,
-					    uint64_t number)
+static struct peer_message *home_request_create(const struct exchange *exchange,
+						uint64_t number)
 {
 	struct gateway *gateway = exchange->gateway;
 	struct peer_message *message =
@@ -67,77 +70,88 @@
 	return message;
 }
 
-/* Asks the home for an engine; false where this node chooses itself. */
+/*
+ * Requests an engine from the home; false if this node has to choose locally.
+ */
 bool exchange_ask_home(struct exchange *exchange)
 {
 	struct gateway *gateway = exchange->gateway;
 	const struct member *home;
 
 	if (!exchange_is_generation(exchange) ||
-	    gateway->now_us < gateway->home_passed_until_us)
+	    gateway->now_us < gateway->home_skipped_until_us)
 		return false;
 	home = find_home(gateway, exchange->service_name);
 	if (!home)
 		return false;
-	remember_home(gateway, home);
-	exchange->question = ++gateway->questions;
+	set_home_address(gateway, home);
+	exchange->question = ++gateway->home_request_count;
 	exchange->asked_home_us = gateway->now_us;
-	g_hash_table_insert(gateway->asking, &exchange->question, exchange);
+	g_hash_table_insert(gateway->home_requests, &exchange->question,
+			    exchange);
 	gateway_send(gateway, home->peer_address,
-		     question_create(exchange, exchange->question));
+		     home_request_create(exchange, exchange->question));
 	counters_add(gateway->options.counters, COUNTER_GATEWAY_HOME_ASKED, 1);
 	return true;
 }
 
-/* The exchange waits for no answer any more. */
+/* Stops waiting for the home's answer, if the exchange waits for one. */
 void exchange_forget_home(struct exchange *exchange)
 {
 	if (!exchange->question)
 		return;
-	g_hash_table_remove(exchange->gateway->asking, &exchange->question);
+	g_hash_table_remove(exchange->gateway->home_requests,
+			    &exchange->question);
 	exchange->question = 0;
 }
 
-/* While there is no leg: the home may be silent. */
+/* Chooses an engine locally once the home's answer has timed out. */
 void exchange_step_asking(struct exchange *exchange)
 {
 	struct gateway *gateway = exchange->gateway;
 
-	if (gateway->now_us - exchange->asked_home_us <= ANSWER_US)
+	if (gateway->now_us - exchange->asked_home_us <= HOME_ANSWER_TIMEOUT_US)
 		return;
-	if (gateway->home_passed_until_us < gateway->now_us)
+	if (gateway->home_skipped_until_us < gateway->now_us)
 		log_write(gateway->log, LOG_LEVEL_WARN, "home_silent",
 			  "address", gateway->home_address, NULL);
-	gateway->home_passed_until_us = gateway->now_us + PASS_BY_US;
+	gateway->home_skipped_until_us = gateway->now_us + HOME_SKIP_US;
 	counters_add(gateway->options.counters, COUNTER_GATEWAY_HOME_SILENT, 1);
 	exchange_forget_home(exchange);
 	exchange_choose(exchange);
 }
 
-/* This node's questions up to this one have had their answers, or get none. */
+/*
+ * The highest number up to which no request of this node to a home waits for
+ * an answer any more.
+ */
 uint64_t gateway_home_answered(const struct gateway *gateway)
 {
-	uint64_t answered = gateway->questions;
+	uint64_t answered = gateway->home_request_count;
 	GHashTableIter iter;
 	gpointer number;
 
-	g_hash_table_iter_init(&iter, gateway->asking);
+	g_hash_table_iter_init(&iter, gateway->home_requests);
 	while (g_hash_table_iter_next(&iter, &number, NULL))
 		answered = MIN(answered, *(const uint64_t *)number - 1);
 	return answered;
 }
 
-/* The home hears of each change, at most so often, whoever else does. */
+/*
+ * Expires grants and sends changes of this node's load to the home, at most
+ * once per interval and independently of the announcements to all nodes.
+ */
 void gateway_home_step(struct gateway *gateway)
 {
 	engine_grants_step(gateway->grants, gateway->now_us);
 	if (!gateway->home_address || !gateway->home_untold ||
-	    gateway->now_us - gateway->home_told_us < TELL_HOME_US)
+	    gateway->now_us - gateway->home_announced_us <
+		    HOME_ANNOUNCE_INTERVAL_US)
 		return;
 	gateway->home_untold = false;
-	gateway->home_told_us = gateway->now_us;
+	gateway->home_announced_us = gateway->now_us;
 	gateway_send(gateway, gateway->home_address,
-		     gateway_standing_create(gateway));
+		     gateway_create_standing(gateway));
 }
 
 static struct endpoint *choose_for(struct gateway *gateway,
@@ -165,11 +179,12 @@
 }
 
 /*
- * Another node asks for an engine. Where this one knows of none that serves, it
- * keeps silent: it may have just started, and a refusal would be the caller's.
+ * Answers another node's request for an engine. There is no answer if this node
+ * knows no usable engine: it may have just started, and a refusal would be
+ * passed to the caller.
  */
-void gateway_home_take_question(struct gateway *gateway,
-				const struct peer_message *message)
+void gateway_home_receive_request(struct gateway *gateway,
+				  const struct peer_message *message)
 {
 	const struct peer_choose *choose = &message->choose;
 	const struct config_service *service =
@@ -209,15 +224,16 @@
 }
 
 /*
- * The home's answer. An engine that this node knows to leave, or doesn't know,
- * is not taken on its word: this node's own news may be newer.
+ * Applies the home's answer. An engine that is unknown here, not usable or
+ * already tried is replaced by a local choice, as this node's data on it may be
+ * newer than the home's.
  */
-void gateway_home_take_answer(struct gateway *gateway,
-			      const struct peer_message *message)
+void gateway_home_receive_answer(struct gateway *gateway,
+				 const struct peer_message *message)
 {
 	const struct peer_chosen *chosen = &message->chosen;
 	struct exchange *exchange =
-		g_hash_table_lookup(gateway->asking, &chosen->number);
+		g_hash_table_lookup(gateway->home_requests, &chosen->number);
 	struct endpoint *endpoint;
 
 	if (!exchange)
--- a/adapters/gateway/gateway_peers.c
+++ b/adapters/gateway/gateway_peers.c
@@ -4,35 +4,36 @@
 #include <string.h>
 
 /*
- * What the gateways of all nodes tell one another: what each holds on which
- * endpoint, which configuration is in force there, whether it takes work, and
- * news of endpoints. All of it is state, not change: a record that is lost is
- * made good by the next one.
+ * Announcements between the gateways of all nodes: the load that each puts on
+ * each endpoint, the version of its configuration, whether it accepts
+ * requests, and updates of endpoints. Records carry state, not changes, so the
+ * next record makes up for a lost one.
  */
 
-/* Standings missed: callers are not sent there any more. */
+/* Missed standings after which callers are not directed to a node. */
 #define SILENT_PERIODS 5
 
-/* Standings missed: its word on endpoints is not waited for. */
+/* Missed standings after which a sentinel is not waited for. */
 #define SENTINEL_SILENT_PERIODS 3
 
 /*
- * What a silent node held is forgotten: its requests have ended with it. A
- * frozen one wakes within some seconds, and its requests run on meanwhile.
+ * Time after which the load of a silent node expires: if it died, its requests
+ * have ended with it. The minimum covers a node that is paused for some
+ * seconds, as its requests keep running at the engines.
  */
-#define FORGET_PERIODS 3
-#define FORGET_LEAST_US (4 * G_USEC_PER_SEC)
+#define LOAD_EXPIRY_PERIODS 3
+#define LOAD_EXPIRY_MIN_US (4 * G_USEC_PER_SEC)
 
-/* Standings between two that tell a member of all endpoints. */
-#define FULL_EVERY 4
+/* One in this many standings also sends all endpoints to a member. */
+#define STANDINGS_PER_SYNC 4
 
-/* Nodes that ask the store in short turns, the first by name. */
+/* Number of nodes that poll the store often: the first ones by name. */
 #define SENTINELS 2
 
-/* Addresses in one answer to a caller. */
+/* Most addresses in one answer to a caller. */
 #define MAX_ADDRESSES 64
 
-/* Frees what is known of another node. */
+/* Frees a struct gateway_peer. */
 void gateway_peer_destroy(gpointer data)
 {
 	g_free(((struct gateway_peer *)data)->address);
@@ -45,9 +46,9 @@
 	       standing_pace_period_us(gateway_node_count(gateway) - 1);
 }
 
-/* Whether the node was heard within so many standings. */
-static bool peer_is_heard(const struct gateway *gateway,
-			  const struct gateway_peer *peer, int64_t periods)
+/* Whether a standing of the node came within the given number of periods. */
+static bool peer_is_recent(const struct gateway *gateway,
+			   const struct gateway_peer *peer, int64_t periods)
 {
 	return gateway->now_us - peer->heard_us < periods_us(gateway, periods);
 }
@@ -79,7 +80,7 @@
 	}
 }
 
-/* A doubt stays here: told on it would read as a removal. */
+/* A doubted endpoint is left out: others would read it as a removal. */
 static void add_registration(struct peer_standing *standing,
 			     const struct endpoint *endpoint)
 {
@@ -101,8 +102,11 @@
 		add_registration(standing, g_ptr_array_index(endpoints, i));
 }
 
-/* What this node holds and knows, without news of endpoints. */
-struct peer_message *gateway_standing_create(struct gateway *gateway)
+/*
+ * Creates a message with this node's load and state, without updates of
+ * endpoints. The caller owns it.
+ */
+struct peer_message *gateway_create_standing(struct gateway *gateway)
 {
 	struct peer_message *message =
 		gateway->host.message(gateway->host.data, PEER_STANDING);
@@ -110,7 +114,7 @@
 
 	standing->table_version = gateway_table_version(gateway);
 	standing->answered = gateway_home_answered(gateway);
-	standing->takes_work = gateway_takes_work(gateway);
+	standing->takes_work = gateway_accepts_requests(gateway);
 	standing->reaches_store = gateway->store_is_reached;
 	standing->callers_address = g_strdup(gateway->options.address);
 	add_held(gateway, standing);
@@ -123,7 +127,7 @@
 	return strcmp(member->name, gateway->options.node_name) != 0;
 }
 
-/* Sends one node a message, which is its own then. */
+/* Sends a message to one node; takes ownership of the message. */
 void gateway_send(struct gateway *gateway, const char *peer_address,
 		  struct peer_message *message)
 {
@@ -134,8 +138,8 @@
 	g_ptr_array_unref(addresses);
 }
 
-/* All members get it, also suspected ones: they may only be slow. */
-static void send_all(struct gateway *gateway, struct peer_message *message)
+/* Sends to all members, also suspected ones, which may only be slow. */
+static void send_to_all(struct gateway *gateway, struct peer_message *message)
 {
 	const struct membership *members =
 		gateway->host.members(gateway->host.data);
@@ -151,17 +155,21 @@
 	g_ptr_array_unref(addresses);
 }
 
-/* Tells all nodes at once what has become of an endpoint. */
-void gateway_peers_tell(struct gateway *gateway, const char *endpoint_id)
+/* Announces the state of an endpoint to all nodes without delay. */
+void gateway_peers_announce_endpoint(struct gateway *gateway,
+				     const char *endpoint_id)
 {
-	struct peer_message *message = gateway_standing_create(gateway);
+	struct peer_message *message = gateway_create_standing(gateway);
 
 	add_registration(&message->standing,
 			 registry_find(gateway->registry, endpoint_id));
-	send_all(gateway, message);
+	send_to_all(gateway, message);
 }
 
-/* A node, this one or another, saw the endpoint break a request off. */
+/*
+ * Records the failure notice of a node, this one or another, whose request the
+ * endpoint aborted. Further notices may put the endpoint aside for a time.
+ */
 void gateway_take_failure(struct gateway *gateway, uint64_t reporter,
 			  const char *endpoint_id)
 {
@@ -179,8 +187,8 @@
 }
 
 /*
- * A request was running when its engine crashed. The others hear of it at
- * once: the caller sends it again, to any node.
+ * Announces to all nodes that an engine crashed while it ran a request. They
+ * need it at once, as the caller may send the request again to any node.
  */
 void gateway_peers_tell_crash(struct gateway *gateway, uint64_t fingerprint,
 			      const char *endpoint_id)
@@ -190,10 +198,10 @@
 
 	message->quarantine.fingerprint = fingerprint;
 	message->quarantine.endpoint = g_strdup(endpoint_id);
-	send_all(gateway, message);
+	send_to_all(gateway, message);
 }
 
-/* Members come sorted by name, so all nodes name the same ones. */
+/* Members are sorted by name, so all nodes agree on the sentinels. */
 static bool member_is_sentinel(const struct gateway *gateway, const char *name)
 {
 	const struct membership *members =
@@ -207,7 +215,7 @@
 	return false;
 }
 
-/* The sentinel of that index as it told of itself; NULL: none, or this node. */
+/* Last announcement of a sentinel; NULL: none came, or it is this node. */
 static const struct gateway_peer *sentinel_get(const struct gateway *gateway,
 					       size_t i)
 {
@@ -220,45 +228,48 @@
 				   membership_get(members, i)->name);
 }
 
-/* Whether a sentinel was heard a moment ago that reaches the store, or not. */
-static bool hears_sentinel(const struct gateway *gateway, bool reaches_store)
+/* Whether a sentinel with this state of the store was heard recently. */
+static bool sentinel_is_heard(const struct gateway *gateway, bool reaches_store)
 {
 	for (size_t i = 0; i < SENTINELS; i++) {
 		const struct gateway_peer *peer = sentinel_get(gateway, i);
 
 		if (peer && peer->reaches_store == reaches_store &&
-		    peer_is_heard(gateway, peer, SENTINEL_SILENT_PERIODS))
+		    peer_is_recent(gateway, peer, SENTINEL_SILENT_PERIODS))
 			return true;
 	}
 	return false;
 }
 
-/* One that has just started and never reached the store tells nothing of it. */
-static bool hears_lost_sentinel(const struct gateway *gateway)
+/*
+ * Whether a sentinel has lost the store. One without a configuration doesn't
+ * count: it has just started and never reached the store.
+ */
+static bool sentinel_announces_loss(const struct gateway *gateway)
 {
 	for (size_t i = 0; i < SENTINELS; i++) {
 		const struct gateway_peer *peer = sentinel_get(gateway, i);
 
 		if (peer && !peer->reaches_store && peer->table_version >= 0 &&
-		    peer_is_heard(gateway, peer, SILENT_PERIODS))
+		    peer_is_recent(gateway, peer, SILENT_PERIODS))
 			return true;
 	}
 	return false;
 }
 
-/* What this node knows of the store, by itself and from the sentinels. */
+/* Whether the store is reached by this node and by the sentinels. */
 struct store_view gateway_store_view(const struct gateway *gateway)
 {
 	return (struct store_view){
 		.reaches_store = gateway->store_is_reached,
-		.sentinel_reaches = hears_sentinel(gateway, true),
-		.sentinel_waits = hears_lost_sentinel(gateway),
+		.sentinel_reaches = sentinel_is_heard(gateway, true),
+		.sentinel_waits = sentinel_announces_loss(gateway),
 	};
 }
 
 /*
- * Whether the store may be away. While it is no notice of a leaving engine
- * comes, and generations would be cut off without one.
+ * Whether the store may be unreachable. Without it no notice of a leaving
+ * engine arrives, and its generations would be cut off.
  */
 bool gateway_store_is_away(const struct gateway *gateway)
 {
@@ -274,8 +285,8 @@
 		.is_sentinel =
 			member_is_sentinel(gateway, gateway->options.node_name),
 		.reaches_store = gateway->store_is_reached,
-		.sentinel_reaches = hears_sentinel(gateway, true),
-		.sentinel_waits = hears_sentinel(gateway, false),
+		.sentinel_reaches = sentinel_is_heard(gateway, true),
+		.sentinel_waits = sentinel_is_heard(gateway, false),
 		.knows_endpoints = registry_has_usable(gateway->registry),
 	};
 	struct store_watch watch = store_watch_decide(&input);
@@ -287,19 +298,20 @@
 }
 
 /*
- * A node that has just started knows no endpoint, and may not reach the store.
+ * Sends all endpoints to one node. A node that has just started has none and
+ * may not reach the store.
  */
 static void send_registrations(struct gateway *gateway,
 			       const char *peer_address)
 {
-	struct peer_message *message = gateway_standing_create(gateway);
+	struct peer_message *message = gateway_create_standing(gateway);
 
 	add_registrations(gateway, &message->standing);
 	gateway_send(gateway, peer_address, message);
 }
 
-/* Any one member gets all endpoints, for what was lost on the way. */
-static void tell_one_all_endpoints(struct gateway *gateway)
+/* Sends all endpoints to a random member, to make up for lost updates. */
+static void sync_random_member(struct gateway *gateway)
 {
 	const struct membership *members =
 		gateway->host.members(gateway->host.data);
@@ -315,37 +327,40 @@
 		send_registrations(gateway, member->peer_address);
 }
 
-static void tell_all(struct gateway *gateway)
+static void announce_to_all(struct gateway *gateway)
 {
-	send_all(gateway, gateway_standing_create(gateway));
-	if (gateway->standings++ % FULL_EVERY == 0)
-		tell_one_all_endpoints(gateway);
+	send_to_all(gateway, gateway_create_standing(gateway));
+	if (gateway->standings++ % STANDINGS_PER_SYNC == 0)
+		sync_random_member(gateway);
 }
 
-/* Tells the others regularly, sooner when something was placed. */
+/* Announces to the others at regular times, and sooner after a change. */
 void gateway_peers_step(struct gateway *gateway)
 {
 	size_t others = gateway_node_count(gateway) - 1;
 	bool changed = gateway->held_changed;
 
-	registry_forget_silent(gateway->registry,
-			       gateway->now_us -
-				       MAX(periods_us(gateway, FORGET_PERIODS),
-					   FORGET_LEAST_US));
+	registry_forget_silent(
+		gateway->registry,
+		gateway->now_us - MAX(periods_us(gateway, LOAD_EXPIRY_PERIODS),
+				      LOAD_EXPIRY_MIN_US));
 	step_store_watch(gateway);
 	gateway->held_changed = false;
 	if (standing_pace_is_due(&gateway->pace, others, changed,
 				 gateway->now_us))
-		tell_all(gateway);
+		announce_to_all(gateway);
 }
 
-/* This node takes no work any more: callers must not be sent here. */
-void gateway_peers_tell_drain(struct gateway *gateway)
+/* Announces that this node drains, so that callers go to other nodes. */
+void gateway_peers_announce_drain(struct gateway *gateway)
 {
-	tell_all(gateway);
+	announce_to_all(gateway);
 }
 
-/* Where callers may connect: the nodes that take work, this one first. */
+/*
+ * Addresses of the nodes that accept requests, this one first. The caller frees
+ * the array; the strings belong to the gateway.
+ */
 GPtrArray *gateway_addresses(struct gateway *gateway)
 {
 	const struct membership *members =
@@ -354,7 +369,7 @@
 	GHashTableIter iter;
 	gpointer name, value;
 
-	if (gateway_takes_work(gateway))
+	if (gateway_accepts_requests(gateway))
 		g_ptr_array_add(addresses, (gpointer)gateway->options.address);
 	g_hash_table_iter_init(&iter, gateway->peers);
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
@@ -362,13 +377,13 @@
 
 		if (peer->takes_work && addresses->len < MAX_ADDRESSES &&
 		    membership_find(members, name) &&
-		    peer_is_heard(gateway, peer, SILENT_PERIODS))
+		    peer_is_recent(gateway, peer, SILENT_PERIODS))
 			g_ptr_array_add(addresses, peer->address);
 	}
 	return addresses;
 }
 
-/* A line for each change: by it this node judges whether the store is away. */
+/* Logs each change that affects whether the store counts as unreachable. */
 static void log_peer_store(const struct gateway *gateway,
 			   const struct gateway_peer *peer,
 			   const struct peer_message *message)
@@ -382,22 +397,22 @@
 		  "node", message->from, NULL);
 }
 
-/* A node has just started, or this one has. */
-static void greet(struct gateway *gateway, const char *peer_address)
+/* Sends the endpoints to a node that is heard for the first time. */
+static void sync_new_node(struct gateway *gateway, const char *peer_address)
 {
 	if (newcomer_is_told(gateway_node_count(gateway) - 1,
 			     g_rand_double(gateway->random)))
 		send_registrations(gateway, peer_address);
 }
 
-static void peer_take(struct gateway *gateway,
-		      const struct peer_message *message)
+static void peer_apply_standing(struct gateway *gateway,
+				const struct peer_message *message)
 {
 	struct gateway_peer *peer =
 		g_hash_table_lookup(gateway->peers, message->from);
 
 	if (!peer || peer->incarnation != message->incarnation)
-		greet(gateway, message->from_address);
+		sync_new_node(gateway, message->from_address);
 	if (!peer) {
 		peer = g_new0(struct gateway_peer, 1);
 		peer->reaches_store = message->standing.reaches_store;
@@ -415,12 +430,12 @@
 }
 
 /*
- * An endpoint that a peer has seen leave leaves here too, also while this
- * node can't reach the store. A removal is believed: a peer that doubts one
- * does not tell it.
+ * Applies a peer's updates of endpoints, also while this node can't reach the
+ * store. Removals are never doubted here, as a peer does not send one that it
+ * doubts.
  */
-static void take_registrations(struct gateway *gateway,
-			       const struct peer_message *message)
+static void apply_registrations(struct gateway *gateway,
+				const struct peer_message *message)
 {
 	const GPtrArray *list = message->standing.registrations;
 
@@ -439,17 +454,17 @@
 	}
 }
 
-/* What another node's gateway says; other records are not its own. */
+/* Handles a message of another node's gateway; ignores other types. */
 void gateway_take_peer(struct gateway *gateway,
 		       const struct peer_message *message)
 {
 	gateway->now_us = gateway_now_us();
 	if (message->type == PEER_ROUTES) {
-		gateway_routes_take(gateway, message);
+		gateway_routes_receive(gateway, message);
 		return;
 	}
 	if (message->type == PEER_ROUTES_ASK) {
-		gateway_routes_give(gateway, message);
+		gateway_routes_send(gateway, message);
 		return;
 	}
 	if (message->type == PEER_QUARANTINE) {
@@ -463,21 +478,21 @@
 	if (!*message->from)
 		return;
 	if (message->type == PEER_CHOOSE) {
-		gateway_home_take_question(gateway, message);
+		gateway_home_receive_request(gateway, message);
 		return;
 	}
 	if (message->type == PEER_CHOSEN) {
-		gateway_home_take_answer(gateway, message);
+		gateway_home_receive_answer(gateway, message);
 		return;
 	}
 	if (message->type != PEER_STANDING)
 		return;
-	peer_take(gateway, message);
+	peer_apply_standing(gateway, message);
 	engine_grants_told(gateway->grants, message->from,
 			   message->standing.answered);
 	registry_take_held(gateway->registry, message->from,
 			   message->incarnation, message->standing.held,
 			   gateway->now_us);
-	take_registrations(gateway, message);
-	gateway_routes_heard(gateway, message->standing.table_version);
+	apply_registrations(gateway, message);
+	gateway_routes_note_version(gateway, message->standing.table_version);
 }
--- a/adapters/gateway/gateway_routes.c
+++ b/adapters/gateway/gateway_routes.c
@@ -1,17 +1,20 @@
 #include "adapters/gateway/gateway_state.h"
 
 /*
- * A configuration that other nodes have and this one does not: the store is
- * read anew, or one of them asked for its copy.
+ * Fetches a configuration that is newer than this node's: it is read again from
+ * the store, or requested from a node that has it.
  */
 
-/* A node says which configuration it has. */
-void gateway_routes_heard(struct gateway *gateway, int64_t version)
+/* Records the version that another node has announced. */
+void gateway_routes_note_version(struct gateway *gateway, int64_t version)
 {
 	gateway->newest_version = MAX(gateway->newest_version, version);
 }
 
-/* Any node that has a newer one, so that not all ask the same; NULL: none. */
+/*
+ * A random node with a newer configuration, so that requests are spread over
+ * the nodes; NULL: none.
+ */
 static const struct member *choose_node(const struct gateway *gateway)
 {
 	const struct membership *members =
@@ -49,7 +52,7 @@
 	gateway_send(gateway, member->peer_address, message);
 }
 
-/* Looks after a newer configuration, if there is one. */
+/* Fetches a newer configuration if one has been announced. */
 void gateway_routes_step(struct gateway *gateway)
 {
 	struct table_fetch_input input;
@@ -76,8 +79,8 @@
 	}
 }
 
-/* Another node asks for the configuration. */
-void gateway_routes_give(struct gateway *gateway,
+/* Sends the configuration to a node that requests it and has an older one. */
+void gateway_routes_send(struct gateway *gateway,
 			 const struct peer_message *ask)
 {
 	struct peer_message *message;
@@ -94,9 +97,9 @@
 	gateway_send(gateway, ask->from_address, message);
 }
 
-/* Another node's configuration. */
-void gateway_routes_take(struct gateway *gateway,
-			 const struct peer_message *message)
+/* Applies a configuration sent by another node, if it is newer. */
+void gateway_routes_receive(struct gateway *gateway,
+			    const struct peer_message *message)
 {
 	struct route_table *table;
 
--- a/adapters/gateway/gateway_store.c
+++ b/adapters/gateway/gateway_store.c
@@ -1,14 +1,14 @@
 #include "adapters/gateway/gateway_state.h"
 
 /*
- * What the platform's store says: the configuration and the endpoints, and
- * whether what is missing there has left or has only lapsed.
+ * Applies the configuration and the endpoints of the platform's store, and
+ * decides whether a missing entry was removed or has only expired.
  */
 
-/* Fewer removals at once are never taken for a lapse. */
-#define LAPSED_LEAST 3
+/* Fewer removals at once are never treated as an expiry of leases. */
+#define EXPIRED_MIN 3
 
-/* Why a removal that came now is doubted, for logs. */
+/* The reason to doubt a removal at this time, for logs. */
 static const char *gateway_doubt_cause(const struct gateway *gateway)
 {
 	if (!gateway->store_is_reached)
@@ -21,8 +21,8 @@
 }
 
 /*
- * What is believed of an endpoint now, who said so, and why it is doubted if
- * it is.
+ * Logs the state of an endpoint, the source of the change, and the reason if
+ * its removal is in doubt.
  */
 void gateway_log_endpoint(struct gateway *gateway, const char *id,
 			  const char *source)
@@ -47,7 +47,10 @@
 		  "revision", revision, "source", source, "doubt", doubt, NULL);
 }
 
-/* Gives up on what did not come back, and forgets the long gone. */
+/*
+ * Resolves doubts: removes endpoints that did not register again in time.
+ * Endpoints that left long ago are dropped from the registry.
+ */
 void gateway_step_registry(struct gateway *gateway)
 {
 	GPtrArray *changed = g_ptr_array_new_with_free_func(g_free);
@@ -62,14 +65,15 @@
 		const char *id = g_ptr_array_index(changed, i);
 
 		gateway_log_endpoint(gateway, id, "end of the doubt");
-		gateway_peers_tell(gateway, id);
+		gateway_peers_announce_endpoint(gateway, id);
 	}
 	g_ptr_array_unref(changed);
 }
 
 /*
- * A configuration, from the store or a node of that name. Only a higher version
- * is taken: a late answer or a peer that lags can't bring an older one back.
+ * Applies a configuration; the source is the store or a node's name. Only a
+ * higher version is applied, so that a late answer or a lagging peer can't
+ * restore an older one. Takes its own references.
  */
 void gateway_take_table(struct gateway *gateway, struct route_table *table,
 			GBytes *document, const char *source)
@@ -96,7 +100,7 @@
 		  NULL);
 }
 
-/* Whether entries that are missing may only have lapsed with the store. */
+/* Whether missing entries may only have expired in an outage of the store. */
 static bool gateway_doubts_removals(const struct gateway *gateway)
 {
 	return gateway_store_is_away(gateway) ||
@@ -104,13 +108,12 @@
 }
 
 /*
- * Whether so many removals at once look like a store that was away for a
- * moment, with the leases of its writers running out meanwhile. Endpoints
- * leave a few at a time; taking all of them for gone would refuse everything
- * until they have registered again.
+ * Whether the number of removals at once suggests a short outage of the store
+ * in which leases expired. Endpoints normally leave a few at a time; removing
+ * all of them would refuse every request until they have registered again.
  */
-static bool changes_look_lapsed(const struct gateway *gateway,
-				const GPtrArray *list)
+static bool changes_look_expired(const struct gateway *gateway,
+				 const GPtrArray *list)
 {
 	const GPtrArray *endpoints = registry_endpoints(gateway->registry);
 	guint removed = 0, usable = 0;
@@ -120,24 +123,24 @@
 				   ->is_removed;
 	for (guint i = 0; i < endpoints->len; i++)
 		usable += endpoint_is_usable(g_ptr_array_index(endpoints, i));
-	return removed >= LAPSED_LEAST && 2 * removed >= usable;
+	return removed >= EXPIRED_MIN && 2 * removed >= usable;
 }
 
-/* The store answered a call, whatever it said. */
+/* Records that the store answered a call, whatever the answer. */
 void gateway_take_store_answer(struct gateway *gateway)
 {
 	gateway->now_us = gateway_now_us();
 	store_doubt_answered(&gateway->store_doubt, gateway->now_us);
 }
 
-/* What the store says has changed: struct registration, in their order. */
+/* Applies changes from the store: struct registration, oldest first. */
 void gateway_take_changes(struct gateway *gateway, const GPtrArray *list)
 {
 	bool is_doubtful;
 
 	gateway_take_store_answer(gateway);
 	is_doubtful = gateway_doubts_removals(gateway) ||
-		      changes_look_lapsed(gateway, list);
+		      changes_look_expired(gateway, list);
 	for (guint i = 0; i < list->len; i++) {
 		const struct registration *news = g_ptr_array_index(list, i);
 
@@ -145,11 +148,11 @@
 				   gateway->now_us))
 			continue;
 		gateway_log_endpoint(gateway, news->id, "store");
-		gateway_peers_tell(gateway, news->id);
+		gateway_peers_announce_endpoint(gateway, news->id);
 	}
 }
 
-/* All that the store holds, as of a revision. */
+/* Applies a complete listing of the store as of a revision. */
 void gateway_take_registrations(struct gateway *gateway, const GPtrArray *list,
 				int64_t revision)
 {
@@ -163,12 +166,12 @@
 		const char *id = g_ptr_array_index(changed, i);
 
 		gateway_log_endpoint(gateway, id, "store");
-		gateway_peers_tell(gateway, id);
+		gateway_peers_announce_endpoint(gateway, id);
 	}
 	g_ptr_array_unref(changed);
 }
 
-/* Whether the store answers. */
+/* Records whether the store is reachable, and logs a change. */
 void gateway_take_store(struct gateway *gateway, bool is_reached)
 {
 	if (gateway->store_is_reached == is_reached)
--- a/tests/gateway.sh
+++ b/tests/gateway.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# The gateway as whole processes on loopback: two nodes, the platform's store,
-# three model engines and two plain ones, all stand-ins. Each case opens with
-# what the caller sees, what happens in order, and why. Judged by what callers
-# got and by what the engines say that they ran.
+# Runs the gateway as processes on loopback: two nodes, a simulated platform
+# store, and simulated endpoints: three model engines and two plain ones. The
+# comment of each case gives the events and the expected result. Cases check what
+# callers received and what the engines report to have run.
 #
 #     tests/gateway.sh BIN [CASE...]
 set -eu
@@ -28,8 +28,8 @@
 	failures=$((failures + 1))
 }
 
-# save_up RETRIES: waits until a node has so many in stock, whatever was used
-# before. 35% of 60 come back in 10 s, a sixth of them to each node.
+# save_up RETRIES: waits until a node has this much retry credit, whatever was
+# used before. 35% of 60 are restored in 10 s, a sixth of them to each node.
 save_up() {
 	sleep $((3 * $1))
 }
@@ -116,7 +116,7 @@
 	until_true is_ready "$1" || fail "node $1 does not become ready"
 }
 
-# TEXT in the log of the first node.
+# logged TEXT: whether it stands in the log of the first node.
 logged() {
 	grep -q "$1" "$work/g0.out"
 }
@@ -137,7 +137,7 @@
 		"http://${fronts[$node]}$path"
 }
 
-# report NODE FILE ID: a streamed report into a file.
+# report NODE FILE ID: requests a streamed report and writes it to a file.
 report() {
 	curl -s -m 20 -N -X POST -H "Host: $host" \
 		-H "X-Siskinlink-Request-Id: $3" \
@@ -146,20 +146,21 @@
 		"http://${fronts[$1]}/report/a" >"$2"
 }
 
-# events N: of each generation that an engine begins from now on. A case whose
-# steps take time needs runs that do not end before them, whatever else is busy.
+# events N: sets the number of events of each generation that an engine starts
+# from now on. A case with slow steps needs runs that outlast them, also on a
+# busy machine.
 events() {
 	for i in 0 1 2; do
 		mode "${backends[$i]}" "{\"events\": $1}"
 	done
 }
 
-# streams FILE EVENTS: waits until so many have come.
+# streams FILE EVENTS: waits until this many events have arrived.
 streams() {
 	until_true has_events "$1" "$2" || fail "no stream in $1: $(head -c 300 "$1")"
 }
 
-# Each event once, in order, of one generation, to the end.
+# Checks that a file has each event of a generation once, in order, to the end.
 whole() { # FILE ID EVENTS
 	[ "$(sed -n 's/^data: {"text":"\(.*\)"}/\1/p' "$1")" = \
 		"$(seq -f "$2.%.0f" 0 $(($3 - 1)))" ] ||
@@ -172,8 +173,9 @@
 		tail -n 1 | sed -E 's/.*( endpoint| to)=i-([0-9]+).*/\2/'
 }
 
-# A caller gets the engine's bytes. The engine is told whose request it is and
-# how long it may take, never the caller's key, whatever the caller claims.
+# The caller receives the engine's bytes. The engine receives the organisation of
+# the caller's key and the time limit, but never the key, whatever organisation
+# the caller claims.
 case_passes_requests_on() {
 	out=$(ask 0 "/lookup/a?b=c" -H "X-Siskinlink-Tenant: other")
 	case $out in
@@ -190,8 +192,8 @@
 	[ "${2: -3}" = "$1" ] || fail "answered $2, not $1"
 }
 
-# What can't be served is refused with the status that says why, and nothing
-# reaches an engine.
+# A request that can't be served is refused with a matching status and does not
+# reach an engine.
 case_refuses() {
 	before=$(($(state 3 runs) + $(state 4 runs)))
 	refused 404 "$(ask 0 /nowhere/)"
@@ -204,9 +206,9 @@
 		fail "an engine ran a refused request"
 }
 
-# A caller hides a second request in the body of its first by naming two
-# lengths. Whoever read the other one would run the hidden request; it is
-# refused, and the connection ends.
+# Request smuggling: a request with two lengths hides a second one in its body,
+# which a server that applies the other length would run. The request is refused
+# and the connection closed.
 case_refuses_ambiguous_framing() {
 	exec 3<>"/dev/tcp/${fronts[0]%:*}/${fronts[0]#*:}"
 	printf 'POST /lookup/export/x HTTP/1.1\r\nHost: %s\r\nX-Siskinlink-Request-Id: s1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /lookup/hidden HTTP/1.1\r\nHost: %s\r\nX-Siskinlink-Request-Id: s2\r\n\r\n' \
@@ -218,8 +220,8 @@
 }
 
 # One endpoint of a plain service answers with its own 500. An idempotent
-# request is tried once at the other one; one that may run once is not, and
-# its caller gets the endpoint's own answer.
+# request is retried once at the other one. A request that may run only once is
+# not, and its caller gets the endpoint's own answer.
 case_retries_only_what_may_run_again() {
 	save_up 2
 	mode "${backends[3]}" '{"failing": true}'
@@ -236,7 +238,7 @@
 	mode "${backends[3]}" '{"failing": false}'
 }
 
-# The engine is killed in the middle of a report. The request goes on at the
+# The engine is killed in the middle of a report. The request continues at the
 # engine that holds the copy of its memory: each event once, in order.
 case_goes_on_after_a_crash() {
 	save_up 1
@@ -250,9 +252,9 @@
 	start_backend "$victim" engines
 }
 
-# The engine says that it leaves. New reports go elsewhere within the second,
-# and the running one changes its engine before the old one ends: no event is
-# missing or doubled.
+# The engine announces that it leaves. New reports go to others within a second,
+# and the running one moves before the old engine ends: no event is missing or
+# repeated.
 case_leaves_an_engine_under_notice() {
 	save_up 1
 	events 300
@@ -271,8 +273,8 @@
 	entry "$victim" engines ready
 }
 
-# The copy that should be there is not, when the engine leaves. The engine that
-# has the run goes on with it until another one has been given a copy.
+# The backup copy is missing when the engine leaves. The engine continues the
+# run until another engine has received a copy.
 case_survives_a_missing_copy() {
 	save_up 2
 	for i in 0 1 2; do
@@ -291,8 +293,8 @@
 	entry "$victim" engines ready
 }
 
-# All engines are full and say that they did not run the request. The caller
-# gets 503, which promises the same, and a time to come back.
+# All engines are full and answer that they did not run the request. The caller
+# gets 503, which promises the same, and a Retry-After.
 case_refuses_when_full() {
 	for i in 0 1 2; do
 		mode "${backends[$i]}" '{"full": true}'
@@ -307,8 +309,8 @@
 	sleep 0.3
 }
 
-# The caller closes in the middle of a report. Its engine is told within half a
-# second and stops.
+# The caller disconnects in the middle of a report. Its engine is notified within
+# half a second and stops.
 case_tells_the_engine_that_the_caller_left() {
 	before=$(($(state 0 left) + $(state 1 left) + $(state 2 left)))
 	report 0 "$work/left" left-1 &
@@ -323,13 +325,14 @@
 	until_true engines_know || fail "no engine heard of it"
 }
 
-# line REQUEST EVENT: the log line of any node on that request.
+# line REQUEST EVENT: the last log line of a request with this event, any node.
 line() {
 	grep -h "event=$2 " "$work"/g*.out | grep "request=$1 " | tail -n 1
 }
 
-# Three requests fail. From its id alone the log leads to the cause of each, the
-# way docs/OPERATIONS.md goes: the end's reason, the attempts, what was believed.
+# Three requests fail. The log leads from the id of each to its cause, by the
+# steps of docs/OPERATIONS.md: the reason of its end, its attempts, and the state
+# of the endpoints.
 case_explains_failures() {
 	save_up 3
 	for i in 0 1 2; do
@@ -367,8 +370,8 @@
 	mode "$store" '{"down": false}'
 }
 
-# The store is away. What was known is used on; a change made meanwhile is in
-# force once it is back, and a key that was taken away is refused.
+# The store is unreachable. The last configuration stays in force; a change made
+# during the outage applies once the store is back.
 case_serves_while_the_store_is_away() {
 	mode "$store" '{"down": true}'
 	out=$(ask 0 /lookup/a)
@@ -381,7 +384,8 @@
 	until_true other_works || fail "the change is not in force"
 }
 
-# Guards against new work on an engine whose removal may be a lapse.
+# Guards against new requests to a leaving engine while its removal is in doubt.
+# The engine's own load report resolves the doubt.
 case_asks_an_engine_in_doubt_itself() {
 	mode "$store" '{"down": true}'
 	for i in 0 1; do
@@ -402,8 +406,8 @@
 	start_backend 0 engines
 }
 
-# The store has forgotten its history while a key was taken away. Both nodes
-# read everything anew, and an older document does not come back.
+# The store has lost its history while a key was removed. Both nodes read
+# everything again, and an older document is not applied.
 case_reads_anew_after_lost_history() {
 	mode "$store" '{"forget": true}'
 	document "$key"
@@ -418,8 +422,8 @@
 	[ "${out: -3}" = 200 ] || fail "went back to an older document: $out"
 }
 
-# Entries that can't be used name no endpoint, and the log says so; the others
-# still serve.
+# Invalid entries are logged and give no endpoint; the other endpoints still
+# serve.
 case_ignores_entries_it_cannot_use() {
 	put servers/i-8 'not json'
 	put servers/i-9 '{"service": "portal", "address": 7}'
@@ -433,8 +437,8 @@
 	done
 }
 
-# The reader of a node's log stops reading. The node serves on: lines beyond
-# what it keeps are dropped and counted.
+# The reader of a node's log stops reading. The node keeps serving: lines beyond
+# its buffer are dropped and counted.
 case_never_waits_for_the_log() {
 	mkfifo "$work/pipe"
 	sed -E 's/^(address|ready_address|directory_address) = .*/\1 = "127.0.0.1:PORT\1"/' \
@@ -464,9 +468,9 @@
 	kill -TERM "$piped"
 }
 
-# A node is told to stop while it streams a report of a second and a half. It is
-# out of the directory at once, takes requests of callers with older answers,
-# ends the report whole, and ends by itself with status 0.
+# A node gets SIGTERM while it streams a report of a second and a half. It leaves
+# the directory at once, still accepts requests of callers with older addresses,
+# completes the report, and exits with status 0.
 case_drains() {
 	report 1 "$work/drain" drain-1 &
 	reader=$!
@@ -486,7 +490,7 @@
 	start_gateway 1
 }
 
-# All nodes are killed at once and start again: with nothing on disk they serve
+# All nodes are killed at once and restarted: with no state on disk they serve
 # within two seconds of their start.
 case_starts_cold() {
 	kill -KILL "${node_pids[@]}"
@@ -497,9 +501,9 @@
 	[ "${out: -3}" = 200 ] || fail "answered $out"
 }
 
-# Both nodes start with seeds that are out of date: nobody answers there. They
-# find each other by their entries in the store, and callers that ask one of
-# them learn of both.
+# Both nodes start with outdated seeds, at which no node answers. They find each
+# other by their entries in the store, and each gives callers the addresses of
+# both.
 case_finds_nodes_by_the_store() {
 	kill -KILL "${node_pids[@]}"
 	wait "${node_pids[@]}" || true
@@ -517,7 +521,7 @@
 	until_true knows 1 0 || fail "node 1 does not know node 0"
 }
 
-# poison NODE FILE ID: a report whose text is always the same; prints the status.
+# poison NODE FILE ID: requests a report with a fixed text; prints the status.
 poison() {
 	curl -s -m 20 -N -X POST -o "$2" -w '%{http_code}' -H "Host: $host" \
 		-H "X-Siskinlink-Request-Id: $3" \
@@ -532,9 +536,9 @@
 	done
 }
 
-# A report crashes its engine, and the one that goes on with it. Its caller
-# sends it again, to another node: that one has heard of both crashes and
-# refuses it, and no further engine is taken down by it.
+# A report crashes its engine and the one that continues it. Its caller sends it
+# again to another node, which has received notice of both crashes and refuses
+# it, so that it crashes no further engine.
 case_holds_what_crashes_engines() {
 	local first second before
 
@@ -563,17 +567,17 @@
 	[ "$out" = whole ] || fail "another report was held as well"
 }
 
-# The engine crashes a few ms after the report has reached it, as on a request
-# that crashes whoever begins it. An engine was named for a backup, but nothing
-# can have been copied yet: asked to go on it would begin, and the report would
-# run twice. The caller gets 502 at once, and no other engine is asked.
+# The engine crashes a few ms after it received the report, as on a request that
+# crashes every engine. A backup engine was assigned, but nothing can have been
+# copied yet: it would start the report again, so that it runs twice. The caller
+# gets 502 at once, and no other engine gets the request.
 case_runs_once_what_crashes_at_once() {
 	runs_once_what_crashes_after 0 at-once-1
 }
 
-# The same, but the engine comes to the report only after 1.5 s, behind others'
-# prompts. It was in reach all the while and made no event: there is as little
-# to go on from as after a few ms, however long the report has waited.
+# The same, but the engine starts the report only after 1.5 s, behind other
+# prompts. It was reachable and produced no event, so there is nothing to
+# continue from, however long the report has waited.
 case_runs_once_what_crashes_behind_a_queue() {
 	runs_once_what_crashes_after 1500 behind-1
 }
@@ -603,10 +607,10 @@
 	done
 }
 
-# A report runs, and the engine that keeps its backup starts again under its
-# old id and registers: it knows nothing of before. Then the report's engine is
-# killed. There is nothing to go on from; an engine that is asked all the same
-# would have to say so, or would begin. The stream is cut, and nobody is asked.
+# The engine that keeps a report's backup restarts without it and registers under
+# its old id. Then the report's engine is killed. There is no copy to continue
+# from; an engine that got the request would have to refuse it, or would start it
+# again. The stream is cut, and no engine gets the request.
 case_asks_no_backup_that_started_again() {
 	local victim backup
 
@@ -633,10 +637,10 @@
 	done
 }
 
-# An engine answers by a status that promises callers that nothing ran, without
-# the word for it: it may have run. Passed on, the status would have the caller
-# send its request again, to run a second time. It gets 502, which promises
-# nothing, and the request ran once.
+# An engine's status promises callers that the request did not run, but the
+# header that confirms it is missing: it may have run. With this status the
+# caller would send the request again, to run a second time. It gets 502, which
+# promises nothing, and the request ran once.
 case_promises_only_what_the_endpoint_said() {
 	local out before status
 
@@ -655,7 +659,7 @@
 	done
 }
 
-# Requests that reached an engine to be run or to be gone on with, in all.
+# Prints the number of requests that all engines got to run or to continue.
 asked_engines() {
 	local sum=0
 
@@ -669,9 +673,9 @@
 	curl -s "http://${https[$1]}/metrics" | awk -v n="$2" '$1 ~ n {print $2}'
 }
 
-# With so many nodes that one chooses engines for all, reports are placed by its
-# word, also when they come at once. It is killed: the other one chooses by
-# itself, and no caller notices.
+# With enough nodes for a home, it chooses the engines of reports, also of
+# simultaneous ones. Then it is killed: the other node chooses locally, and no
+# caller is affected.
 case_places_by_the_word_of_a_home() {
 	local asks asked=0
 
@@ -714,9 +718,9 @@
 	done
 }
 
-# The engine says that it leaves and copies the run to another one, which reads
-# a prompt: the copy waits. The engine is killed in that moment. The run goes on
-# from the copy, and the log says from where.
+# The engine announces that it leaves and copies the run to another one, where
+# the copy waits for a prompt. The first engine is killed meanwhile. The run
+# continues from the copy, and the log names its engine.
 case_goes_on_from_a_waiting_copy() {
 	save_up 2
 	events 600
@@ -772,9 +776,9 @@
 	[ "${out: -3}" = "$3" ]
 }
 
-# A node without the platform's store takes routes, keys and endpoints from the
-# configuration that operators plan and confirm. A route that is removed by a
-# confirmed plan is gone for callers; before its confirmation nothing changes.
+# A node without the platform's store uses the routes, keys and endpoints of the
+# configuration that operators plan and confirm. A plan that removes a route has
+# no effect on callers before its confirmation.
 case_follows_confirmed_plans() {
 	local portal
 
