--- a/adapters/gateway/attempt.c
+++ b/adapters/gateway/attempt.c
@@ -16,10 +16,10 @@
 	char *echo_field;
 	char *echo_value;
 	bool has_no_body;
-	bool is_ours; /* the answer being read */
-	bool is_over; /* whole or failed was told */
+	bool answer_matches; /* the answer being read is for this request */
+	bool is_over;	     /* whole or failed was called, or destroyed */
 	bool is_connected;
-	bool has_extra; /* bytes behind the whole answer */
+	bool has_trailing_bytes; /* received after the complete answer */
 };
 
 static void attempt_fail(struct attempt *attempt, enum error_code code,
@@ -34,8 +34,8 @@
 	attempt->events->failed(attempt->data, &error);
 }
 
-static bool head_is_ours(const struct attempt *attempt,
-			 const struct http_head *head)
+static bool head_matches_request(const struct attempt *attempt,
+				 const struct http_head *head)
 {
 	const char *echo;
 
@@ -52,8 +52,8 @@
 {
 	struct attempt *attempt = data;
 
-	attempt->is_ours = head_is_ours(attempt, head);
-	if (attempt->is_ours)
+	attempt->answer_matches = head_matches_request(attempt, head);
+	if (attempt->answer_matches)
 		attempt->events->head(attempt->data, head);
 	return !attempt->has_no_body || head->status < 200;
 }
@@ -62,7 +62,8 @@
 {
 	struct attempt *attempt = data;
 
-	if (attempt->is_ours && !attempt->is_over && attempt->events->body)
+	if (attempt->answer_matches && !attempt->is_over &&
+	    attempt->events->body)
 		attempt->events->body(attempt->data, bytes, size);
 }
 
@@ -71,23 +72,25 @@
 	.body = on_body,
 };
 
-/* False when the attempt is over, and perhaps gone. */
-static bool attempt_take_result(struct attempt *attempt,
-				enum http_reader_result result, bool has_more)
+/* Returns false if the attempt is over; its owner may have destroyed it. */
+static bool attempt_handle_result(struct attempt *attempt,
+				  enum http_reader_result result,
+				  bool has_more_bytes)
 {
 	switch (result) {
 	case HTTP_READER_MORE:
 		return true;
 	case HTTP_READER_COMPLETE:
-		if (!attempt->is_ours)
+		if (!attempt->answer_matches)
 			return true;
 		attempt->is_over = true;
-		attempt->has_extra = has_more;
+		attempt->has_trailing_bytes = has_more_bytes;
 		attempt->events->whole(attempt->data);
 		return false;
 	case HTTP_READER_BAD:
 	case HTTP_READER_TOO_LARGE:
-		attempt_fail(attempt, ERROR_CLOSED, "not an HTTP answer");
+		attempt_fail(attempt, ERROR_CLOSED,
+			     "answer is malformed or its head is too large");
 		return false;
 	}
 	return false;
@@ -110,22 +113,22 @@
 }
 
 /*
- * The owner may destroy the attempt from inside any event, so it is held once
- * more while bytes are read, and asked after each message whether it is over.
+ * The owner may destroy the attempt from inside any event. So this function
+ * holds a reference while it reads, and checks is_over after each message.
  */
 static void on_received(void *data, const char *bytes, size_t size)
 {
 	struct attempt *attempt = g_rc_box_acquire(data);
-	size_t taken;
+	size_t consumed;
 
 	while (size > 0 && !attempt->is_over) {
-		enum http_reader_result result =
-			http_reader_feed(attempt->reader, bytes, size, &taken);
+		enum http_reader_result result = http_reader_feed(
+			attempt->reader, bytes, size, &consumed);
 
-		bytes += taken;
-		size -= taken;
+		bytes += consumed;
+		size -= consumed;
 		if (attempt->is_over ||
-		    !attempt_take_result(attempt, result, size > 0))
+		    !attempt_handle_result(attempt, result, size > 0))
 			break;
 	}
 	attempt_release(attempt);
@@ -136,12 +139,14 @@
 	struct attempt *attempt = g_rc_box_acquire(data);
 	enum http_reader_result result = HTTP_READER_BAD;
 
-	if (http_reader_has_head(attempt->reader) && attempt->is_ours)
-		result = http_reader_end(attempt->reader);
+	if (http_reader_has_head(attempt->reader) && attempt->answer_matches)
+		result = http_reader_finish(attempt->reader);
 	if (!attempt->is_over && result == HTTP_READER_COMPLETE)
-		attempt_take_result(attempt, result, false);
+		attempt_handle_result(attempt, result, false);
 	else
-		attempt_fail(attempt, ERROR_CLOSED, "closed before the end");
+		attempt_fail(
+			attempt, ERROR_CLOSED,
+			"connection closed before the answer was complete");
 	attempt_release(attempt);
 }
 
@@ -185,7 +190,11 @@
 				  error);
 }
 
-/* Sends the request; NULL and an error where no connection can be begun. */
+/*
+ * Sends the request, over an idle connection of the pool if there is one.
+ * Returns NULL and sets error if no connection can be opened. Takes ownership
+ * of options->request in every case; the events must outlive the attempt.
+ */
 struct attempt *attempt_start(const struct attempt_options *options,
 			      const struct attempt_events *events, void *data,
 			      struct error *error)
@@ -213,8 +222,8 @@
 }
 
 /*
- * Ends the attempt. Closing the connection is what tells the endpoint to stop
- * working on it. NULL is allowed.
+ * Ends the attempt and frees it; NULL is allowed. The connection is closed,
+ * which makes the endpoint stop working on the request.
  */
 void attempt_destroy(struct attempt *attempt)
 {
@@ -225,13 +234,13 @@
 	attempt_release(attempt);
 }
 
-/* Stops or goes on reading the answer. */
+/* Pauses or resumes reading the answer. */
 void attempt_set_reading(struct attempt *attempt, bool reading)
 {
 	tcp_stream_set_reading(attempt->stream, reading);
 }
 
-/* Whether any byte may have reached the endpoint. */
+/* Whether any byte of the request may have reached the endpoint. */
 bool attempt_has_sent(const struct attempt *attempt)
 {
 	return attempt->is_connected || tcp_stream_has_sent(attempt->stream);
@@ -244,14 +253,16 @@
 }
 
 /*
- * Gives the connection of a whole answer to the pool, unless the endpoint
- * closes it, said more than its answer, or hasn't read the whole request: it
- * would take what comes next for the rest of that one.
+ * Gives the connection to the pool after a complete answer, for reuse until
+ * until_us. The attempt keeps it if the endpoint will close it, if bytes
+ * followed the answer, or if part of the request is still unsent: the endpoint
+ * would read the next request as the rest of this one.
  */
 void attempt_keep_connection(struct attempt *attempt,
 			     struct endpoint_pool *pool, int64_t until_us)
 {
-	if (attempt->has_extra || http_reader_must_close(attempt->reader) ||
+	if (attempt->has_trailing_bytes ||
+	    http_reader_must_close(attempt->reader) ||
 	    tcp_stream_waiting_bytes(attempt->stream) > 0)
 		return;
 	endpoint_pool_give(pool, attempt->address,
--- a/adapters/gateway/attempt.h
+++ b/adapters/gateway/attempt.h
@@ -13,32 +13,35 @@
 G_BEGIN_DECLS
 
 /*
- * One request sent to one address, and its answer as it comes. It never sends
- * a request twice. An answer that names another request is read away: an
- * endpoint may repeat a late one where the next is due.
+ * One request sent to one address, and its answer, whose bytes go to the events
+ * as they arrive. An attempt never sends its request twice. An answer that
+ * names another request is read and discarded: an endpoint may send a late
+ * answer again where the next one is expected.
  */
 struct attempt_options {
 	const char *address;
-	const char *echo_field; /* its value in the answer must be echo_value */
-	const char *echo_value; /* NULL: any answer counts */
-	GString *request;	/* taken over */
-	struct endpoint_pool *pool; /* NULL: a connection of its own */
-	bool has_no_body;	    /* the answer, as to HEAD */
+	const char *echo_field;	    /* this answer field must hold echo_value */
+	const char *echo_value;	    /* NULL: accept any answer */
+	GString *request;	    /* freed by attempt_start */
+	struct endpoint_pool *pool; /* NULL: always open a connection */
+	bool has_no_body;	    /* the answer has no body, as for HEAD */
 	int64_t now_us;
 };
 
 struct attempt_events {
+	/* The head belongs to the attempt. */
 	void (*head)(void *data, const struct http_head *head);
-	/* May be NULL where only the head counts. */
+	/* Part of the body; may be NULL if only the head is needed. */
 	void (*body)(void *data, const char *bytes, size_t size);
+	/* The answer is complete. */
 	void (*whole)(void *data);
-	/* ERROR_UNREACHABLE: nothing has left for the endpoint. */
+	/* ERROR_UNREACHABLE: nothing was sent to the endpoint. */
 	void (*failed)(void *data, const struct error *error);
 };
 
 struct attempt;
 
-/* After whole or failed the attempt is over and its owner destroys it. */
+/* The attempt is over after whole or failed; its owner then destroys it. */
 struct attempt *attempt_start(const struct attempt_options *options,
 			      const struct attempt_events *events, void *data,
 			      struct error *error);
--- a/adapters/gateway/caller.c
+++ b/adapters/gateway/caller.c
@@ -6,10 +6,10 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Read ahead of the request being answered; then the caller has to wait. */
-#define MAX_AHEAD_BYTES 65536
+/* Bytes read beyond the current request; above this, reading pauses. */
+#define MAX_UNPARSED_BYTES 65536
 
-/* Until a configuration says otherwise. */
+/* Limits until the first configuration is applied. */
 #define DEFAULT_HEADER_BYTES 16384
 #define DEFAULT_BODY_BYTES (1 << 20)
 #define DEFAULT_HEADER_TIMEOUT_US (5 * G_USEC_PER_SEC)
@@ -27,18 +27,18 @@
 
 struct caller {
 	struct caller_set *set;
-	struct tcp_stream *stream; /* NULL: over */
+	struct tcp_stream *stream; /* NULL: closed */
 	struct http_reader *reader;
-	GByteArray *ahead; /* bytes behind the request being answered */
+	GByteArray *unparsed; /* received and not parsed yet */
 	GByteArray *body;
-	void *request; /* the handler's */
-	bool is_busy;  /* a request was handed over and isn't answered */
+	void *request; /* the handler's data for the current request */
+	bool is_busy;  /* the handler has a request that isn't answered yet */
 	bool must_close;
-	bool has_sent; /* a part of the present answer */
+	bool has_sent; /* part of the current answer */
 	bool is_parsing;
 	bool is_refused;
-	int64_t begun_us;  /* of the request being read; 0: none */
-	int64_t active_us; /* last byte, or end of the last answer */
+	int64_t request_start_us; /* of the request being read; 0: none */
+	int64_t last_activity_us; /* last bytes received or answer ended */
 };
 
 static const struct {
@@ -57,7 +57,7 @@
 	{504, "Gateway Timeout"},
 };
 
-/* The reason phrase of a status; "Status" for one that isn't ours. */
+/* The reason phrase of a status; "Status" if the table does not list it. */
 const char *http_status_text(int32_t status)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(status_texts); i++) {
@@ -73,7 +73,7 @@
 
 	tcp_stream_destroy(caller->stream);
 	http_reader_destroy(caller->reader);
-	g_byte_array_unref(caller->ahead);
+	g_byte_array_unref(caller->unparsed);
 	g_byte_array_unref(caller->body);
 }
 
@@ -82,8 +82,8 @@
 	g_rc_box_release_full(data, caller_free);
 }
 
-/* Takes the connection out; its request hears of it if one waits. */
-static void caller_drop(struct caller *caller)
+/* Calls gone if a request is unanswered, and closes the connection. */
+static void caller_disconnect(struct caller *caller)
 {
 	struct caller_set *set = caller->set;
 	void *request = g_steal_pointer(&caller->request);
@@ -98,7 +98,7 @@
 	g_hash_table_remove(set->callers, caller);
 }
 
-/* Sends what waits and closes. */
+/* Closes the connection once its queued bytes are sent. */
 static void caller_finish(struct caller *caller)
 {
 	tcp_stream_finish(g_steal_pointer(&caller->stream));
@@ -115,8 +115,8 @@
 }
 
 /*
- * Refuses what can't be read as a request. Where the next one begins is not
- * known then, so the connection ends.
+ * Refuses input that is malformed, too large or too slow. Where the next
+ * request would begin is then unknown, so the connection closes.
  */
 static void caller_refuse(struct caller *caller, int32_t status)
 {
@@ -132,17 +132,18 @@
 
 static bool on_head(void *data, const struct http_head *head)
 {
-	static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+	static const char continue_head[] = "HTTP/1.1 100 Continue\r\n\r\n";
 	struct caller *caller = data;
-	int64_t most = caller->set->limits.body_bytes;
+	int64_t max_body_bytes = caller->set->limits.body_bytes;
 
 	g_byte_array_set_size(caller->body, 0);
-	if (head->content_length > most) {
+	if (head->content_length > max_body_bytes) {
 		caller_refuse(caller, 413);
 		return true;
 	}
 	if (http_head_has_token(head, "Expect", "100-continue"))
-		tcp_stream_write(caller->stream, go_on, sizeof(go_on) - 1);
+		tcp_stream_write(caller->stream, continue_head,
+				 sizeof(continue_head) - 1);
 	return true;
 }
 
@@ -165,7 +166,7 @@
 	.body = on_body,
 };
 
-static void caller_hand_over(struct caller *caller)
+static void caller_dispatch(struct caller *caller)
 {
 	struct caller_set *set = caller->set;
 	GByteArray *body = caller->body;
@@ -173,7 +174,7 @@
 	caller->body = g_byte_array_new();
 	caller->is_busy = true;
 	caller->has_sent = false;
-	caller->begun_us = 0;
+	caller->request_start_us = 0;
 	caller->must_close = http_reader_must_close(caller->reader);
 	set->busy++;
 	set->handler.request(set->handler.data, caller,
@@ -181,9 +182,9 @@
 }
 
 /*
- * Reads requests from the bytes at hand, one at a time. Answers may come from
- * inside, and then the next request is read by this loop, not by another one
- * inside it.
+ * Parses the received bytes, one request at a time. The handler may answer
+ * from inside its callback, which calls this function again; is_parsing leaves
+ * the next request to the outer loop instead of recursing.
  */
 static void caller_parse(struct caller *caller)
 {
@@ -192,22 +193,22 @@
 	caller->is_parsing = true;
 	g_rc_box_acquire(caller);
 	while (caller->stream && !caller->is_busy && !caller->is_refused &&
-	       caller->ahead->len > 0) {
-		size_t taken = 0;
+	       caller->unparsed->len > 0) {
+		size_t consumed = 0;
 		enum http_reader_result result;
 
-		if (!caller->begun_us)
-			caller->begun_us = caller->set->now_us;
+		if (!caller->request_start_us)
+			caller->request_start_us = caller->set->now_us;
 		result = http_reader_feed(caller->reader,
-					  (const char *)caller->ahead->data,
-					  caller->ahead->len, &taken);
+					  (const char *)caller->unparsed->data,
+					  caller->unparsed->len, &consumed);
 		g_byte_array_remove_range(
-			caller->ahead, 0,
-			(guint)MIN(taken, caller->ahead->len));
+			caller->unparsed, 0,
+			(guint)MIN(consumed, caller->unparsed->len));
 		if (caller->is_refused)
 			break;
 		if (result == HTTP_READER_COMPLETE)
-			caller_hand_over(caller);
+			caller_dispatch(caller);
 		else if (result == HTTP_READER_TOO_LARGE)
 			caller_refuse(caller, 431);
 		else if (result == HTTP_READER_BAD)
@@ -218,7 +219,8 @@
 		caller_finish(caller);
 	else if (caller->stream)
 		tcp_stream_set_reading(caller->stream,
-				       caller->ahead->len < MAX_AHEAD_BYTES);
+				       caller->unparsed->len <
+					       MAX_UNPARSED_BYTES);
 	caller_release(caller);
 }
 
@@ -226,21 +228,22 @@
 {
 	struct caller *caller = data;
 
-	caller->active_us = caller->set->now_us;
-	g_byte_array_append(caller->ahead, (const guint8 *)bytes, (guint)size);
+	caller->last_activity_us = caller->set->now_us;
+	g_byte_array_append(caller->unparsed, (const guint8 *)bytes,
+			    (guint)size);
 	caller_parse(caller);
 }
 
-/* A caller that closes has left: nobody would read the answer. */
+/* The caller closed its connection: nobody would read the answer. */
 static void on_ended(void *data)
 {
-	caller_drop(data);
+	caller_disconnect(data);
 }
 
 static void on_failed(void *data, const struct error *error)
 {
 	(void)error;
-	caller_drop(data);
+	caller_disconnect(data);
 }
 
 static void on_drained(void *data)
@@ -259,7 +262,7 @@
 	.drained = on_drained,
 };
 
-/* A set without callers; at most so many are served at once. */
+/* Creates an empty set that serves at most max_callers at once. */
 struct caller_set *caller_set_create(const struct caller_handler *handler,
 				     size_t max_callers)
 {
@@ -277,7 +280,10 @@
 	return set;
 }
 
-/* Closes all connections; the handler hears nothing. NULL is allowed. */
+/*
+ * Closes all connections and frees the set, without calling gone. NULL is
+ * allowed.
+ */
 void caller_set_destroy(struct caller_set *set)
 {
 	if (!set)
@@ -287,14 +293,17 @@
 	g_free(set);
 }
 
-/* What callers may send from now on. */
+/*
+ * Applies new limits. Open connections keep the header size limit that was
+ * in force when they were accepted.
+ */
 void caller_set_limits(struct caller_set *set,
 		       const struct caller_limits *limits)
 {
 	set->limits = *limits;
 }
 
-/* Serves an accepted connection. Over the limit it is closed at once. */
+/* Takes over an accepted connection; closes it if max_callers are served. */
 void caller_set_accept(struct caller_set *set, int fd, int64_t now_us)
 {
 	struct caller *caller;
@@ -305,9 +314,9 @@
 	}
 	caller = g_rc_box_new0(struct caller);
 	caller->set = set;
-	caller->ahead = g_byte_array_new();
+	caller->unparsed = g_byte_array_new();
 	caller->body = g_byte_array_new();
-	caller->active_us = now_us;
+	caller->last_activity_us = now_us;
 	caller->reader = http_reader_create(HTTP_READER_REQUESTS,
 					    (size_t)set->limits.header_bytes,
 					    &reader_events, caller);
@@ -321,20 +330,20 @@
 
 	if (caller->is_busy)
 		return;
-	if (caller->begun_us &&
-	    now_us - caller->begun_us > limits->header_timeout_us &&
+	if (caller->request_start_us &&
+	    now_us - caller->request_start_us > limits->header_timeout_us &&
 	    (!http_reader_has_head(caller->reader) ||
-	     now_us - caller->active_us > limits->header_timeout_us)) {
+	     now_us - caller->last_activity_us > limits->header_timeout_us)) {
 		caller_refuse(caller, 408);
 		caller_finish(caller);
 		return;
 	}
-	if (!caller->begun_us &&
-	    now_us - caller->active_us > limits->idle_timeout_us)
+	if (!caller->request_start_us &&
+	    now_us - caller->last_activity_us > limits->idle_timeout_us)
 		caller_finish(caller);
 }
 
-/* Ends connections that are idle or slow for too long. */
+/* Closes connections that have been idle or slow for too long. */
 void caller_set_step(struct caller_set *set, int64_t now_us)
 {
 	GPtrArray *callers = g_ptr_array_new_with_free_func(caller_release);
@@ -350,7 +359,7 @@
 	g_ptr_array_unref(callers);
 }
 
-/* From now on each answer is the last of its connection. */
+/* From now on, each connection closes after its current answer. */
 void caller_set_drain(struct caller_set *set)
 {
 	set->is_draining = true;
@@ -366,26 +375,29 @@
 	while (g_hash_table_iter_next(&iter, &value, NULL)) {
 		struct caller *caller = value;
 
-		if (caller->is_busy || caller->begun_us)
+		if (caller->is_busy || caller->request_start_us)
 			continue;
 		tcp_stream_finish(g_steal_pointer(&caller->stream));
 		g_hash_table_iter_remove(&iter);
 	}
 }
 
-/* Requests that wait for their answer. */
+/* The number of requests that are not answered yet. */
 size_t caller_set_busy_count(const struct caller_set *set)
 {
 	return set->busy;
 }
 
-/* The handler's own of the request that is being answered. */
+/* Sets the handler's data for the current request: gone and drained get it. */
 void caller_set_request(struct caller *caller, void *request)
 {
 	caller->request = request;
 }
 
-/* A whole answer of ours; fields are lines that end with CR LF, or NULL. */
+/*
+ * Sends a complete answer and ends it. fields holds header lines that end with
+ * CR LF, or is NULL.
+ */
 void caller_answer(struct caller *caller, int32_t status, const char *fields,
 		   const char *body, size_t body_size)
 {
@@ -399,7 +411,7 @@
 	caller_end(caller, false);
 }
 
-/* Bytes of the answer, head included, as they are. */
+/* Sends bytes of the answer, head included, unchanged. */
 void caller_send(struct caller *caller, const char *bytes, size_t size)
 {
 	if (!caller->stream)
@@ -408,7 +420,10 @@
 	tcp_stream_write(caller->stream, bytes, size);
 }
 
-/* The answer is whole. The connection goes on unless it must close. */
+/*
+ * Ends a complete answer. The connection then closes if must_close is set, if
+ * the request asked for it or in a drain; else the next request is parsed.
+ */
 void caller_end(struct caller *caller, bool must_close)
 {
 	struct caller_set *set = caller->set;
@@ -416,7 +431,7 @@
 	caller->request = NULL;
 	caller->is_busy = false;
 	set->busy--;
-	caller->active_us = set->now_us;
+	caller->last_activity_us = set->now_us;
 	if (must_close || caller->must_close || set->is_draining) {
 		caller_finish(caller);
 		return;
@@ -425,22 +440,22 @@
 }
 
 /*
- * Cuts the answer off: without its last bytes, so that nobody takes it for a
- * whole one.
+ * Closes the connection in the middle of the answer. Its last bytes are
+ * missing, so the caller cannot mistake it for a complete one.
  */
 void caller_break(struct caller *caller)
 {
 	caller->request = NULL;
-	caller_drop(caller);
+	caller_disconnect(caller);
 }
 
-/* Whether the connection ends with the present answer. */
+/* Whether the connection closes after the current answer. */
 bool caller_will_close(const struct caller *caller)
 {
 	return caller->must_close || caller->set->is_draining;
 }
 
-/* Bytes that the caller has not taken yet. */
+/* Bytes queued for the caller and not sent yet; 0 once closed. */
 size_t caller_waiting_bytes(const struct caller *caller)
 {
 	return caller->stream ? tcp_stream_waiting_bytes(caller->stream) : 0;
--- a/adapters/gateway/caller.h
+++ b/adapters/gateway/caller.h
@@ -12,23 +12,27 @@
 G_BEGIN_DECLS
 
 /*
- * A caller's connection: one request after another, each handed over whole.
- * What a request may hold and how long it may take are checked here.
+ * A caller's connection. Its requests are read one at a time, and each goes to
+ * the handler when it is complete. The limits on the size of a request and on
+ * the time it takes to arrive are enforced here.
  */
 struct caller;
 
 struct caller_handler {
-	/* Head and body are handed over; the answer comes by caller_send. */
+	/*
+	 * A complete request. The handler owns head and body, and answers with
+	 * caller_answer, or with caller_send and caller_end.
+	 */
 	void (*request)(void *data, struct caller *caller,
 			struct http_head *head, GByteArray *body);
-	/* The connection is gone; of requests that wait for an answer only. */
+	/* The connection closed before the answer ended. May be NULL. */
 	void (*gone)(void *data, void *request);
-	/* What waits for the caller has become little again. */
+	/* All queued bytes are sent; the answer may continue. May be NULL. */
 	void (*drained)(void *data, void *request);
 	void *data;
 };
 
-/* The connections of callers that one handler serves. */
+/* All caller connections that share one handler. */
 struct caller_set;
 
 struct caller_set *caller_set_create(const struct caller_handler *handler,
--- a/adapters/gateway/event_scanner.c
+++ b/adapters/gateway/event_scanner.c
@@ -2,24 +2,24 @@
 
 #include <string.h>
 
-/* An engine that sends no end of an event must not fill the memory. */
+/* Bounds the memory an engine can use by never ending an event. */
 #define MAX_EVENT_BYTES (1 << 20)
 
 struct event_scanner {
-	event_scanner_function found;
+	event_scanner_callback on_event;
 	void *data;
-	GByteArray *part; /* of an event that isn't whole yet */
+	GByteArray *partial; /* bytes of an event that has not ended */
 };
 
-/* A scanner that tells its owner of each whole event. */
-struct event_scanner *event_scanner_create(event_scanner_function found,
+/* Creates a scanner that calls on_event for each complete event. */
+struct event_scanner *event_scanner_create(event_scanner_callback on_event,
 					   void *data)
 {
 	struct event_scanner *scanner = g_new0(struct event_scanner, 1);
 
-	scanner->found = found;
+	scanner->on_event = on_event;
 	scanner->data = data;
-	scanner->part = g_byte_array_new();
+	scanner->partial = g_byte_array_new();
 	return scanner;
 }
 
@@ -28,7 +28,7 @@
 {
 	if (!scanner)
 		return;
-	g_byte_array_unref(scanner->part);
+	g_byte_array_unref(scanner->partial);
 	g_free(scanner);
 }
 
@@ -68,7 +68,10 @@
 	return id;
 }
 
-/* Bytes up to the end of the first whole event; 0: there is none. */
+/*
+ * Bytes up to the end of the first complete event; 0: there is none. The
+ * search for the empty line starts at offset from.
+ */
 static size_t event_size(const char *bytes, size_t size, size_t from)
 {
 	for (size_t i = from; i + 1 < size; i++) {
@@ -84,37 +87,40 @@
 }
 
 /*
- * Takes bytes as they come. False: an event is larger than any engine's, or
- * the owner wants no more.
+ * Scans the next bytes of the stream, in pieces of any size. Returns false if
+ * more than MAX_EVENT_BYTES of a partial event are held, or if on_event
+ * returned false.
  */
 bool event_scanner_feed(struct event_scanner *scanner, const char *bytes,
 			size_t size)
 {
-	size_t from = scanner->part->len > 3 ? scanner->part->len - 3 : 0;
-	size_t found;
+	size_t from = scanner->partial->len > 3 ? scanner->partial->len - 3 : 0;
+	size_t event_bytes;
 
-	g_byte_array_append(scanner->part, (const guint8 *)bytes, (guint)size);
-	while ((found = event_size((const char *)scanner->part->data,
-				   scanner->part->len, from))) {
-		const char *event = (const char *)scanner->part->data;
+	g_byte_array_append(scanner->partial, (const guint8 *)bytes,
+			    (guint)size);
+	while ((event_bytes = event_size((const char *)scanner->partial->data,
+					 scanner->partial->len, from))) {
+		const char *event = (const char *)scanner->partial->data;
 
-		if (!scanner->found(scanner->data, event, found,
-				    event_id(event, found)))
+		if (!scanner->on_event(scanner->data, event, event_bytes,
+				       event_id(event, event_bytes)))
 			return false;
-		g_byte_array_remove_range(scanner->part, 0, (guint)found);
+		g_byte_array_remove_range(scanner->partial, 0,
+					  (guint)event_bytes);
 		from = 0;
 	}
-	return scanner->part->len <= MAX_EVENT_BYTES;
+	return scanner->partial->len <= MAX_EVENT_BYTES;
 }
 
-/* Forgets a part of an event, before another connection goes on. */
+/* Discards a partial event before another connection continues the stream. */
 void event_scanner_reset(struct event_scanner *scanner)
 {
-	g_byte_array_set_size(scanner->part, 0);
+	g_byte_array_set_size(scanner->partial, 0);
 }
 
-/* Whether no part of an event waits for its end. */
+/* Whether the bytes so far end at the boundary of an event. */
 bool event_scanner_is_between(const struct event_scanner *scanner)
 {
-	return scanner->part->len == 0;
+	return scanner->partial->len == 0;
 }
--- a/adapters/gateway/event_scanner.h
+++ b/adapters/gateway/event_scanner.h
@@ -9,17 +9,17 @@
 G_BEGIN_DECLS
 
 /*
- * Finds the whole events in the bytes of an event stream, so that none is
- * passed on in part: an engine may break off in the middle of one, and what
- * follows from another engine begins with a whole one.
+ * Splits the bytes of an event stream (text/event-stream) into complete events,
+ * so that no partial event is forwarded: an engine may fail in the middle of an
+ * event, and the engine that continues starts with a complete one.
  */
 struct event_scanner;
 
-/* id is -1 for an event without a number. False: stop reading. */
-typedef bool (*event_scanner_function)(void *data, const char *bytes,
+/* id is -1 for an event without a numeric id. False: stop reading. */
+typedef bool (*event_scanner_callback)(void *data, const char *bytes,
 				       size_t size, int64_t id);
 
-struct event_scanner *event_scanner_create(event_scanner_function found,
+struct event_scanner *event_scanner_create(event_scanner_callback on_event,
 					   void *data);
 void event_scanner_destroy(struct event_scanner *scanner);
 bool event_scanner_feed(struct event_scanner *scanner, const char *bytes,
--- a/adapters/gateway/http_head.c
+++ b/adapters/gateway/http_head.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-/* Fields that speak of one connection and are never passed on (RFC 9110). */
-static const char *const hop_fields[] = {
+/* Hop-by-hop fields, which are never forwarded (RFC 9110). */
+static const char *const hop_by_hop_fields[] = {
 	"connection",	  "keep-alive",	       "proxy-connection", "te",
 	"trailer",	  "transfer-encoding", "upgrade",	   "expect",
-	"content-length", /* rendered anew with the body */
+	"content-length", /* written again with the forwarded body */
 };
 
 static void field_clear(gpointer data)
@@ -17,7 +17,7 @@
 	g_free(field->value);
 }
 
-/* An empty head. */
+/* Creates an empty head; http_head_destroy frees it. */
 struct http_head *http_head_create(void)
 {
 	struct http_head *head = g_new0(struct http_head, 1);
@@ -40,7 +40,7 @@
 	g_free(head);
 }
 
-/* Appends a field; both texts are copied. */
+/* Appends a field; name and value are copied. */
 void http_head_add(struct http_head *head, const char *name, size_t name_size,
 		   const char *value, size_t value_size)
 {
@@ -50,7 +50,10 @@
 	g_array_append_val(head->fields, field);
 }
 
-/* The first field of that name, whatever its case; NULL without one. */
+/*
+ * The value of the first field with this name, compared without case; NULL if
+ * there is none. The head owns it.
+ */
 const char *http_head_get(const struct http_head *head, const char *name)
 {
 	for (guint i = 0; i < head->fields->len; i++) {
@@ -63,7 +66,7 @@
 	return NULL;
 }
 
-/* How many fields have that name. */
+/* The number of fields with this name, compared without case. */
 size_t http_head_count(const struct http_head *head, const char *name)
 {
 	size_t count = 0;
@@ -88,7 +91,7 @@
 	return found;
 }
 
-/* Whether a field of that name lists the token. */
+/* Whether a field with this name lists the token, compared without case. */
 bool http_head_has_token(const struct http_head *head, const char *name,
 			 const char *token)
 {
@@ -103,11 +106,11 @@
 	return false;
 }
 
-/* Whether the field concerns this connection only. */
-bool http_head_is_hop_field(const struct http_head *head, const char *name)
+/* Whether the field is for this connection only and must not be forwarded. */
+bool http_head_is_hop_by_hop(const struct http_head *head, const char *name)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(hop_fields); i++) {
-		if (g_ascii_strcasecmp(hop_fields[i], name) == 0)
+	for (size_t i = 0; i < G_N_ELEMENTS(hop_by_hop_fields); i++) {
+		if (g_ascii_strcasecmp(hop_by_hop_fields[i], name) == 0)
 			return true;
 	}
 	return http_head_has_token(head, "Connection", name);
@@ -123,18 +126,18 @@
 }
 
 /*
- * Writes the fields that go to the next hop as lines, but those left out, a
- * list of names that ends with NULL.
+ * Appends the end-to-end fields to out, one line each, except those in
+ * excluded: NULL or a list of names that ends with NULL.
  */
 void http_head_append_end_to_end(const struct http_head *head,
-				 const char *const *left_out, GString *out)
+				 const char *const *excluded, GString *out)
 {
 	for (guint i = 0; i < head->fields->len; i++) {
 		const struct http_field *field =
 			&g_array_index(head->fields, struct http_field, i);
 
-		if (http_head_is_hop_field(head, field->name) ||
-		    name_is_listed(field->name, left_out))
+		if (http_head_is_hop_by_hop(head, field->name) ||
+		    name_is_listed(field->name, excluded))
 			continue;
 		g_string_append_printf(out, "%s: %s\r\n", field->name,
 				       field->value);
--- a/adapters/gateway/http_head.h
+++ b/adapters/gateway/http_head.h
@@ -8,19 +8,20 @@
 
 G_BEGIN_DECLS
 
-/* The first lines of a request or an answer, as they came. */
+/* A header field; the name keeps its case. */
 struct http_field {
 	char *name;
 	char *value;
 };
 
+/* The start line and header fields of a request or an answer. */
 struct http_head {
 	char *method;		/* request */
 	char *target;		/* request: path and query */
 	int32_t status;		/* answer */
 	char *reason;		/* answer */
-	GArray *fields;		/* struct http_field, in their order */
-	int64_t content_length; /* -1: not said */
+	GArray *fields;		/* struct http_field, in order of arrival */
+	int64_t content_length; /* -1: not given */
 	bool is_chunked;
 	bool keeps_alive; /* the connection may carry another message */
 };
@@ -31,11 +32,11 @@
 		   const char *value, size_t value_size);
 const char *http_head_get(const struct http_head *head, const char *name);
 size_t http_head_count(const struct http_head *head, const char *name);
-bool http_head_is_hop_field(const struct http_head *head, const char *name);
+bool http_head_is_hop_by_hop(const struct http_head *head, const char *name);
 bool http_head_has_token(const struct http_head *head, const char *name,
 			 const char *token);
 void http_head_append_end_to_end(const struct http_head *head,
-				 const char *const *left_out, GString *out);
+				 const char *const *excluded, GString *out);
 
 G_END_DECLS
 
--- a/adapters/gateway/http_reader.c
+++ b/adapters/gateway/http_reader.c
@@ -9,14 +9,14 @@
 	void *data;
 	size_t max_head_bytes;
 	struct http_head *head;
-	GString *target;
+	GString *target; /* of a request; the reason of an answer */
 	GString *name;
 	GString *value;
 	bool in_value;
-	bool begun;
+	bool in_message;
 	bool has_head;
 	bool complete;
-	bool rejected; /* by a callback of ours */
+	bool rejected; /* by on_head, not by the parser */
 	bool too_large;
 	bool must_close;
 	size_t head_bytes;
@@ -28,7 +28,7 @@
 	return -1;
 }
 
-static int reader_count(struct http_reader *reader, size_t size)
+static int reader_count_head_bytes(struct http_reader *reader, size_t size)
 {
 	reader->head_bytes += size;
 	if (reader->head_bytes <= reader->max_head_bytes)
@@ -47,27 +47,27 @@
 	g_string_truncate(reader->name, 0);
 	g_string_truncate(reader->value, 0);
 	reader->in_value = false;
-	reader->begun = true;
+	reader->in_message = true;
 	reader->has_head = false;
 	reader->complete = false;
 	reader->head_bytes = 0;
 	return 0;
 }
 
-static int on_target(http_parser *parser, const char *at, size_t size)
+static int on_start_line(http_parser *parser, const char *at, size_t size)
 {
 	struct http_reader *reader = parser->data;
 
 	g_string_append_len(reader->target, at, (gssize)size);
-	return reader_count(reader, size);
+	return reader_count_head_bytes(reader, size);
 }
 
 static int on_reason(http_parser *parser, const char *at, size_t size)
 {
-	return on_target(parser, at, size);
+	return on_start_line(parser, at, size);
 }
 
-static void reader_push_field(struct http_reader *reader)
+static void reader_add_field(struct http_reader *reader)
 {
 	if (!reader->in_value)
 		return;
@@ -82,9 +82,9 @@
 {
 	struct http_reader *reader = parser->data;
 
-	reader_push_field(reader);
+	reader_add_field(reader);
 	g_string_append_len(reader->name, at, (gssize)size);
-	return reader_count(reader, size);
+	return reader_count_head_bytes(reader, size);
 }
 
 static int on_value(http_parser *parser, const char *at, size_t size)
@@ -93,7 +93,7 @@
 
 	reader->in_value = true;
 	g_string_append_len(reader->value, at, (gssize)size);
-	return reader_count(reader, size + 4);
+	return reader_count_head_bytes(reader, size + 4);
 }
 
 static bool reader_is_request(const struct http_reader *reader)
@@ -102,12 +102,12 @@
 }
 
 /*
- * The parser refuses lengths and codings that contradict one another, and
- * names and values with bytes that don't belong there. What is left to refuse
- * is what would be read as another request behind: two hosts, or none, or a
- * target that names one.
+ * The parser refuses contradictory lengths and transfer codings, and invalid
+ * bytes in names and values. Refused here is what an endpoint could read as a
+ * different request: no host or two hosts, a target that names a host, CONNECT,
+ * and a chunked body in HTTP/1.0.
  */
-static bool reader_request_is_clear(const struct http_reader *reader)
+static bool reader_request_is_unambiguous(const struct http_reader *reader)
 {
 	const struct http_head *head = reader->head;
 
@@ -121,7 +121,7 @@
 	struct http_reader *reader = parser->data;
 	struct http_head *head = reader->head;
 
-	reader_push_field(reader);
+	reader_add_field(reader);
 	head->is_chunked = http_head_count(head, "Transfer-Encoding") > 0;
 	head->content_length = parser->content_length == (uint64_t)-1
 				       ? -1
@@ -134,7 +134,7 @@
 		head->status = parser->status_code;
 		head->reason = g_strdup(reader->target->str);
 	}
-	if (reader_is_request(reader) && !reader_request_is_clear(reader))
+	if (reader_is_request(reader) && !reader_request_is_unambiguous(reader))
 		return reader_reject(reader);
 	reader->must_close = !head->keeps_alive || parser->upgrade;
 	reader->has_head = true;
@@ -154,14 +154,14 @@
 	struct http_reader *reader = parser->data;
 
 	reader->complete = true;
-	reader->begun = false;
+	reader->in_message = false;
 	http_parser_pause(parser, 1);
 	return 0;
 }
 
 static const http_parser_settings parser_settings = {
 	.on_message_begin = on_begin,
-	.on_url = on_target,
+	.on_url = on_start_line,
 	.on_status = on_reason,
 	.on_header_field = on_name,
 	.on_header_value = on_value,
@@ -170,7 +170,10 @@
 	.on_message_complete = on_complete,
 };
 
-/* A reader for one connection. The events must outlive it. */
+/*
+ * Creates a reader for one connection. The events must outlive it. A head of
+ * more than max_head_bytes gives HTTP_READER_TOO_LARGE.
+ */
 struct http_reader *http_reader_create(enum http_reader_kind kind,
 				       size_t max_head_bytes,
 				       const struct http_reader_events *events,
@@ -215,48 +218,49 @@
 }
 
 /*
- * Reads bytes up to the end of a message at most; taken says how many. After
- * HTTP_READER_COMPLETE the next call begins another message.
+ * Reads at most up to the end of one message and sets consumed to the number of
+ * bytes read. After HTTP_READER_COMPLETE, the next call begins a new message.
  */
 enum http_reader_result http_reader_feed(struct http_reader *reader,
 					 const char *bytes, size_t size,
-					 size_t *taken)
+					 size_t *consumed)
 {
 	if (reader->complete) {
 		reader->complete = false;
 		http_parser_pause(&reader->parser, 0);
 	}
-	*taken = http_parser_execute(&reader->parser, &parser_settings, bytes,
-				     size);
+	*consumed = http_parser_execute(&reader->parser, &parser_settings,
+					bytes, size);
 	return reader_result(reader);
 }
 
 /*
- * The peer sends nothing more: the end of a message without a length, and a
- * broken message otherwise.
+ * Handles the end of the connection's input. It completes an answer without a
+ * length. If any other message is in progress, or none, it returns
+ * HTTP_READER_BAD.
  */
-enum http_reader_result http_reader_end(struct http_reader *reader)
+enum http_reader_result http_reader_finish(struct http_reader *reader)
 {
-	size_t taken;
+	size_t consumed;
 
-	if (!reader->begun)
+	if (!reader->in_message)
 		return HTTP_READER_BAD;
-	return http_reader_feed(reader, NULL, 0, &taken);
+	return http_reader_feed(reader, NULL, 0, &consumed);
 }
 
-/* Whether the head of the message that has begun is there. */
+/* Whether the head of the current message is complete. */
 bool http_reader_has_head(const struct http_reader *reader)
 {
 	return reader->has_head;
 }
 
-/* Whether the connection ends with the message last read. */
+/* Whether the connection must close after the last message. */
 bool http_reader_must_close(const struct http_reader *reader)
 {
 	return reader->must_close;
 }
 
-/* Hands the head of the message last read over; the caller frees it. */
+/* Returns the head of the last message; the caller frees it. */
 struct http_head *http_reader_take_head(struct http_reader *reader)
 {
 	return g_steal_pointer(&reader->head);
--- a/tests/http_reader_test.cc
+++ b/tests/http_reader_test.cc
@@ -10,7 +10,7 @@
 	std::string log;
 };
 
-static bool take_head(void *data, const struct http_head *head)
+static bool log_head(void *data, const struct http_head *head)
 {
 	auto *read = static_cast<Read *>(data);
 
@@ -23,16 +23,16 @@
 	return true;
 }
 
-static void take_body(void *data, const char *bytes, size_t size)
+static void log_body(void *data, const char *bytes, size_t size)
 {
 	static_cast<Read *>(data)->log += " [" + std::string(bytes, size) + "]";
 }
 
-static const struct http_reader_events events = {take_head, take_body};
+static const struct http_reader_events events = {log_head, log_body};
 
-/* What is read of the bytes, given in pieces of that size. */
+/* Feeds the bytes to a reader in pieces; returns a log of its events. */
 static std::string read(enum http_reader_kind kind, const std::string &bytes,
-			size_t piece, bool ends = false)
+			size_t piece, bool at_end = false)
 {
 	static const char *const results[] = {"", " complete;", " bad",
 					      " too_large"};
@@ -43,17 +43,17 @@
 
 	for (size_t at = 0;
 	     at < bytes.size() && result <= HTTP_READER_COMPLETE;) {
-		size_t taken;
+		size_t consumed;
 
 		result = http_reader_feed(reader, bytes.data() + at,
 					  std::min(piece, bytes.size() - at),
-					  &taken);
+					  &consumed);
 		read.log += results[result];
-		at += taken;
+		at += consumed;
 	}
-	if (ends)
-		read.log +=
-			std::string(" end") + results[http_reader_end(reader)];
+	if (at_end)
+		read.log += std::string(" end") +
+			    results[http_reader_finish(reader)];
 	http_reader_destroy(reader);
 	return read.log;
 }
@@ -87,8 +87,8 @@
 }
 
 /*
- * Two readers could take each of these for different messages: a caller would
- * get a request of its own run inside another one's.
+ * Two parsers could read each of these messages differently, so that a caller
+ * could smuggle its own request into that of another caller.
  */
 TEST(HttpReader, RefusesWhatCanBeReadInTwoWays)
 {
@@ -128,8 +128,9 @@
 }
 
 /*
- * An answer without a length ends with its connection; one with a length that
- * ends before it is broken, and must never look whole.
+ * An answer without a length ends when its connection closes. An answer whose
+ * connection closes before the given length or the last chunk was cut short,
+ * and must never count as complete.
  */
 TEST(HttpReader, TellsAnAnswersEndFromACut)
 {
@@ -155,8 +156,8 @@
 }
 
 /*
- * An engine breaks off in the middle of an event, and another goes on with the
- * next whole one: the part must never reach the caller.
+ * An engine fails in the middle of an event, and another engine continues with
+ * the next complete one. The partial event must never reach the caller.
  */
 TEST(EventScanner, FindsWholeEventsOnly)
 {
@@ -185,11 +186,11 @@
 
 TEST(EventScanner, BoundsAnEventWithoutEnd)
 {
-	std::string found, part(1 << 19, 'x');
+	std::string found, piece(1 << 19, 'x');
 	struct event_scanner *scanner = event_scanner_create(collect, &found);
 
-	EXPECT_TRUE(event_scanner_feed(scanner, part.data(), part.size()));
-	EXPECT_TRUE(event_scanner_feed(scanner, part.data(), part.size()));
-	EXPECT_FALSE(event_scanner_feed(scanner, part.data(), part.size()));
+	EXPECT_TRUE(event_scanner_feed(scanner, piece.data(), piece.size()));
+	EXPECT_TRUE(event_scanner_feed(scanner, piece.data(), piece.size()));
+	EXPECT_FALSE(event_scanner_feed(scanner, piece.data(), piece.size()));
 	event_scanner_destroy(scanner);
 }
