--- a/codec/etcd_field.c
+++ b/codec/etcd_field.c
@@ -6,7 +6,7 @@
 
 const char etcd_field_step[] = "kv.parse";
 
-/* Bytes, in base64. */
+/* Adds a member with data in base64. */
 void etcd_field_add_bytes(JsonBuilder *builder, const char *name,
 			  const void *data, size_t size)
 {
@@ -16,12 +16,13 @@
 	g_free(text);
 }
 
+/* Adds a member with the NUL-terminated key in base64. */
 void etcd_field_add_key(JsonBuilder *builder, const char *name, const char *key)
 {
 	etcd_field_add_bytes(builder, name, key, strlen(key));
 }
 
-/* A 64-bit number, as a string. */
+/* Adds a member with a 64-bit number as a string. */
 void etcd_field_add_int64(JsonBuilder *builder, const char *name, int64_t value)
 {
 	char text[32];
@@ -30,7 +31,10 @@
 	json_writer_text(builder, name, text);
 }
 
-/* Decodes base64 strictly; the library's decoder skips what is not. */
+/*
+ * Decodes base64 strictly: g_base64_decode() skips invalid characters. Returns
+ * false for invalid base64; otherwise the caller owns *bytes.
+ */
 bool etcd_field_decode(const char *base64, GBytes **bytes)
 {
 	static const char alphabet[] = "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
@@ -49,7 +53,7 @@
 	return true;
 }
 
-/* A 64-bit number as the gateway writes it: a string, or absent for 0. */
+/* Reads a 64-bit number, written as a string, or omitted when it is 0. */
 int64_t etcd_field_int64(struct json_fields *fields, const char *name)
 {
 	const char *text = json_fields_string(fields, name, 0, 20);
@@ -61,7 +65,10 @@
 	return value;
 }
 
-/* Bytes; never NULL, also where the member is wrong. */
+/*
+ * Reads a base64 member. Returns bytes that the caller owns, empty when the
+ * member is invalid, but never NULL.
+ */
 GBytes *etcd_field_bytes(struct json_fields *fields, const char *name)
 {
 	const char *text = json_fields_string(fields, name, 0, G_MAXINT32);
@@ -74,7 +81,10 @@
 	return bytes;
 }
 
-/* The member "key". */
+/*
+ * Reads the member "key", which must not be empty or contain NUL bytes.
+ * Returns a string that the caller owns, never NULL.
+ */
 char *etcd_field_key(struct json_fields *fields)
 {
 	GBytes *bytes = etcd_field_bytes(fields, "key");
@@ -89,7 +99,10 @@
 	return key;
 }
 
-/* An object member, as its node; absent or null is NULL. */
+/*
+ * Returns the node of an object member, owned by its parent. NULL when the
+ * member is absent or null, or is not an object, which fails the fields.
+ */
 JsonNode *etcd_field_object(struct json_fields *fields, const char *name)
 {
 	JsonNode *node;
@@ -105,7 +118,10 @@
 	return NULL;
 }
 
-/* The revision of the service that each answer's header tells. */
+/*
+ * Returns the revision of the store from the header that every answer has, or
+ * 0 when the header is missing or invalid, which fails the fields.
+ */
 int64_t etcd_field_revision(struct json_fields *fields, struct error *error)
 {
 	JsonNode *node = etcd_field_object(fields, "header");
@@ -125,7 +141,10 @@
 	return revision;
 }
 
-/* Goes on with the object that a stream wraps each of its messages in. */
+/*
+ * Moves fields into the member "result", in which a stream wraps each of its
+ * messages. Returns false when there is no such object.
+ */
 bool etcd_field_enter_result(struct json_fields *fields, struct error *error)
 {
 	JsonNode *result = etcd_field_object(fields, "result");
--- a/codec/etcd_field.h
+++ b/codec/etcd_field.h
@@ -13,12 +13,13 @@
 G_BEGIN_DECLS
 
 /*
- * Members as etcd v3's JSON gateway writes them: keys and values in base64,
- * 64-bit numbers as strings, what is at its default left out. The readers fail
- * the fields where a member is wrong; see json_reader.h.
+ * Members in the encoding of etcd v3's JSON gateway: keys and values in
+ * base64, 64-bit numbers as strings, members with their default value omitted.
+ * A reader marks the fields as failed when a member is invalid; see
+ * json_reader.h.
  */
 
-extern const char etcd_field_step[]; /* for errors */
+extern const char etcd_field_step[]; /* step of parse errors */
 
 void etcd_field_add_bytes(JsonBuilder *builder, const char *name,
 			  const void *data, size_t size);
--- a/codec/etcd_json.c
+++ b/codec/etcd_json.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-/* The gateway's path for an operation. */
+/* Returns the gateway's HTTP path for an operation, a static string. */
 const char *etcd_json_path(enum kv_op op)
 {
 	switch (op) {
@@ -26,7 +26,10 @@
 	return "/";
 }
 
-/* The end of the range of all keys that start with prefix. */
+/*
+ * Returns the exclusive end of the range of all keys that start with prefix.
+ * The caller owns the string.
+ */
 char *etcd_json_range_end(const char *prefix)
 {
 	char *end = g_strdup(prefix);
@@ -84,7 +87,7 @@
 	end_list(builder);
 }
 
-/* A conflict is answered with what is there, so it costs no second call. */
+/* The failure branch reads the key, so a conflict needs no second request. */
 static void add_txn(JsonBuilder *builder, const struct kv_request *request)
 {
 	bool put = request->op == KV_CAS;
@@ -111,7 +114,7 @@
 	end_list(builder);
 }
 
-/* The body that asks the gateway for this. */
+/* Returns the body of a request to the gateway, owned by the caller. */
 GBytes *etcd_json_format_request(const struct kv_request *request)
 {
 	JsonBuilder *builder = json_builder_new();
@@ -188,7 +191,10 @@
 	return true;
 }
 
-/* The only response of a transaction, an object under this name. */
+/*
+ * Reads the only response of a transaction: begins inner at its object member
+ * with the given name.
+ */
 static bool begin_response(struct json_fields *fields,
 			   struct json_fields *inner, const char *name,
 			   struct error *error)
@@ -281,10 +287,10 @@
 }
 
 /*
- * Reads the body of an answer with status 200 to this request. Fills answer
- * and returns true, or clears it and returns false with ERROR_INVALID or
- * ERROR_TOO_LARGE. Members that are not known are passed over, as the service
- * may gain some.
+ * Parses the body of an answer with status 200 to request. Fills answer and
+ * returns true, or clears it and returns false with ERROR_INVALID or
+ * ERROR_TOO_LARGE. Unknown members are ignored, since later versions of the
+ * service may add some.
  */
 bool etcd_json_parse_answer(const struct kv_request *request, GBytes *body,
 			    size_t max_bytes, struct kv_answer *answer,
--- a/codec/etcd_json.h
+++ b/codec/etcd_json.h
@@ -12,8 +12,8 @@
 G_BEGIN_DECLS
 
 /*
- * Requests and answers of etcd v3's JSON gateway; its streams of changes are
- * in etcd_watch.h.
+ * Requests and answers of etcd v3's JSON gateway, except for watches; see
+ * etcd_watch.h.
  */
 
 const char *etcd_json_path(enum kv_op op);
--- a/codec/etcd_watch.c
+++ b/codec/etcd_watch.c
@@ -5,7 +5,10 @@
 
 #include <string.h>
 
-/* The body that watches one key from a revision on. */
+/*
+ * Returns the body of a request that watches key from start_revision on, owned
+ * by the caller.
+ */
 GBytes *etcd_watch_format(const char *key, int64_t start_revision)
 {
 	JsonBuilder *builder = json_builder_new();
@@ -85,8 +88,8 @@
 }
 
 /*
- * Reads one message of a watch's stream. Fills message and returns true, or
- * clears it and returns false with ERROR_INVALID or ERROR_TOO_LARGE.
+ * Parses one message of the stream of a watch. Fills message and returns true,
+ * or clears it and returns false with ERROR_INVALID or ERROR_TOO_LARGE.
  */
 bool etcd_watch_message_parse(GBytes *line, size_t max_bytes,
 			      struct etcd_watch_message *message,
@@ -106,7 +109,7 @@
 	return ok;
 }
 
-/* Frees what a message holds, not the struct itself. */
+/* Frees the contents of a message, not the struct itself. */
 void etcd_watch_message_clear(struct etcd_watch_message *message)
 {
 	g_clear_pointer(&message->changes, g_ptr_array_unref);
--- a/codec/etcd_watch.h
+++ b/codec/etcd_watch.h
@@ -10,7 +10,9 @@
 
 G_BEGIN_DECLS
 
-/* Watches of etcd v3's JSON gateway: a request, then a line for each message.
+/*
+ * Watches of etcd v3's JSON gateway: one request, answered by a stream with
+ * one message on each line.
  */
 
 struct etcd_change {
@@ -21,8 +23,8 @@
 
 struct etcd_watch_message {
 	int64_t revision;
-	bool canceled;	    /* the service ended the watch */
-	GPtrArray *changes; /* struct etcd_change; NULL when none */
+	bool canceled;	    /* the service has ended the watch */
+	GPtrArray *changes; /* struct etcd_change; NULL: none */
 };
 
 GBytes *etcd_watch_format(const char *key, int64_t start_revision);
--- a/codec/order_json.c
+++ b/codec/order_json.c
@@ -7,7 +7,10 @@
 
 enum { MAX_STATE_BYTES = 16 * 1024, MAX_TARGET_BYTES = 256 };
 
-/* The body of an order. */
+/*
+ * Returns the body of an order that sets the target of an engine, owned by the
+ * caller. fence is the fencing number of the order.
+ */
 GBytes *order_json_format(int64_t fence, const char *target)
 {
 	JsonBuilder *builder = json_builder_new();
@@ -20,10 +23,10 @@
 }
 
 /*
- * Reads what an engine says of itself. Returns false with ERROR_INVALID or
- * ERROR_TOO_LARGE and an empty state. Members that are not known are passed
- * over. An engine that does not count its requests is taken to be busy: an
- * order would cut what it does not count.
+ * Parses the state that an engine answers with. Returns false with
+ * ERROR_INVALID or ERROR_TOO_LARGE and an empty state. Unknown members are
+ * ignored. An engine that does not count its requests is treated as busy with
+ * one request, since an order would abort requests that it does not count.
  */
 bool order_json_parse_state(GBytes *body, struct order_state *state,
 			    struct error *error)
@@ -49,7 +52,7 @@
 	return ok;
 }
 
-/* Frees what a state holds, not the struct itself. */
+/* Frees the contents of a state, not the struct itself. */
 void order_state_clear(struct order_state *state)
 {
 	g_clear_pointer(&state->target, g_free);
--- a/codec/order_json.h
+++ b/codec/order_json.h
@@ -9,7 +9,10 @@
 
 G_BEGIN_DECLS
 
-/* Orders to engines and what they say of their target; docs/PROTOCOLS.md. */
+/*
+ * Orders that set the target of an engine, and the state that an engine
+ * answers with; see docs/PROTOCOLS.md.
+ */
 
 struct order_state {
 	char *target;
--- a/codec/peer_choose.c
+++ b/codec/peer_choose.c
@@ -2,12 +2,15 @@
 
 #include "codec/peer_field.h"
 
-/* Engines that a request was tried at before; each try takes a retry. */
+/* Engines that a request was already sent to; each attempt uses one retry. */
 #define MAX_AVOIDED 16
 
 #define CHILD_AVOID 9
 
-/* The record's body; engines to avoid beyond the bound are left out. */
+/*
+ * Returns the body of a PEER_CHOOSE record as a floating variant. Engines to
+ * avoid beyond MAX_AVOIDED are omitted.
+ */
 GVariant *peer_choose_encode(const struct peer_message *message)
 {
 	const struct peer_choose *choose = &message->choose;
@@ -36,13 +39,13 @@
 
 		g_variant_get_child(list, i, "s", &id);
 		g_ptr_array_add(avoid, id);
-		if (!peer_field_text_is_legal(id, false))
+		if (!peer_field_text_is_valid(id, false))
 			return false;
 	}
 	return true;
 }
 
-/* Fills the question in; false if a value is out of its range. */
+/* Fills choose from a body. Returns false if a value is out of range. */
 bool peer_choose_decode(GVariant *body, struct peer_choose *choose)
 {
 	GVariant *avoid = g_variant_get_child_value(body, CHILD_AVOID);
@@ -61,14 +64,17 @@
 	choose->wants_backup = wants_backup;
 	valid = wants_backup <= 1 && tokens <= PEER_FIELD_MAX_TOKENS &&
 		prompt_tokens <= PEER_FIELD_MAX_TOKENS &&
-		peer_field_text_is_legal(choose->service, false) &&
-		peer_field_text_is_legal(choose->failure_domain, true) &&
+		peer_field_text_is_valid(choose->service, false) &&
+		peer_field_text_is_valid(choose->failure_domain, true) &&
 		decode_avoid(avoid, choose->avoid);
 	g_variant_unref(avoid);
 	return valid;
 }
 
-/* The record's body; texts over 64 bytes make the reader refuse it. */
+/*
+ * Returns the body of a PEER_CHOSEN record as a floating variant. Texts are not
+ * truncated; the decoder rejects a record with a text over 64 bytes.
+ */
 GVariant *peer_chosen_encode(const struct peer_message *message)
 {
 	return g_variant_new(PEER_CHOSEN_FORMAT, message->incarnation,
@@ -79,12 +85,12 @@
 			     peer_field_text(message->chosen.backup));
 }
 
-/* Fills the answer in; false if a value is out of its range. */
+/* Fills chosen from a body. Returns false if a value is out of range. */
 bool peer_chosen_decode(GVariant *body, struct peer_chosen *chosen)
 {
 	g_variant_get_child(body, 1, "t", &chosen->number);
 	g_variant_get_child(body, 4, "s", &chosen->endpoint);
 	g_variant_get_child(body, 5, "s", &chosen->backup);
-	return peer_field_text_is_legal(chosen->endpoint, true) &&
-	       peer_field_text_is_legal(chosen->backup, true);
+	return peer_field_text_is_valid(chosen->endpoint, true) &&
+	       peer_field_text_is_valid(chosen->backup, true);
 }
--- a/codec/peer_choose.h
+++ b/codec/peer_choose.h
@@ -8,7 +8,10 @@
 
 G_BEGIN_DECLS
 
-/* Bodies of the records with which a gateway asks its home for an engine. */
+/*
+ * Bodies of PEER_CHOOSE, with which a gateway requests an engine from its home,
+ * and of PEER_CHOSEN, the answer of the home.
+ */
 
 #define PEER_CHOOSE_FORMAT "(ttuuyssssas)"
 #define PEER_CHOSEN_FORMAT "(ttssss)"
--- a/codec/peer_codec.c
+++ b/codec/peer_codec.c
@@ -8,30 +8,30 @@
 #include <string.h>
 
 /*
- * A record is eight bytes of head, then the body as GVariant:
+ * A record is a header of eight bytes, then the body as GVariant:
  *
  *     'S' 'K' 'L' version type 0 0 0
  *
- * The head's size keeps the body aligned. Each body starts with the sender's
- * incarnation; fields of fixed size go first so that GVariant pads little,
- * then the sender's name and address, then the rest.
+ * The size of the header keeps the body aligned. Each body starts with the
+ * sender's incarnation. Fields of fixed size come first, which keeps GVariant's
+ * padding small, then the sender's name and address, then all other fields.
  */
-#define STEP "peer.decode"
-#define VERSION 1
-#define HEAD_BYTES 8
+#define DECODE_STEP "peer.decode"
+#define FORMAT_VERSION 1
+#define RECORD_HEADER_BYTES 8
 #define MAX_DOCUMENT_BYTES (1 << 20)
 #define MAX_RECORD_BYTES (MAX_DOCUMENT_BYTES + 4096)
 #define MAX_MEMBERS 64
 #define MAX_ENDPOINTS 4096
 #define MAX_LIMITS 4096
-#define MAX_LIMIT UINT32_MAX
+#define MAX_LIMIT_VALUE UINT32_MAX
 #define MAX_DURATION_US ((int64_t)1 << 52)
-#define MAX_VERSION ((uint64_t)1 << 62)
+#define MAX_MEMBER_VERSION ((uint64_t)1 << 62)
 #define MAX_PRIORITY 9
 
 #define MEMBER_FORMAT "(tttysssss)"
 
-static const uint8_t magic[] = {'S', 'K', 'L', VERSION};
+static const uint8_t magic[] = {'S', 'K', 'L', FORMAT_VERSION};
 
 static const char *const body_formats[PEER_MESSAGE_TYPES] = {
 	[PEER_PING] = "(ttsssa" MEMBER_FORMAT ")",
@@ -40,7 +40,7 @@
 	[PEER_PLACE] = "(ttttxuuyssss)",
 	[PEER_PLACED] = "(ttsss)",
 	[PEER_REFUSED] = "(ttxyss)",
-	[PEER_PROGRESS] = PEER_HOLDINGS_FORMAT,
+	[PEER_PROGRESS] = PEER_PROGRESS_FORMAT,
 	[PEER_RELEASE] = "(ttxuyss)",
 	[PEER_CONFIG] = "(txssay)",
 	[PEER_CONFIG_ASK] = "(txssay)",
@@ -119,8 +119,8 @@
 
 		g_variant_builder_add(
 			&builder, "(uuu)", limit->organisation_hash,
-			(guint32)CLAMP(limit->rate_per_ks, 0, MAX_LIMIT),
-			(guint32)CLAMP(limit->tokens, 0, MAX_LIMIT));
+			(guint32)CLAMP(limit->rate_per_ks, 0, MAX_LIMIT_VALUE),
+			(guint32)CLAMP(limit->tokens, 0, MAX_LIMIT_VALUE));
 	}
 	return g_variant_new("(tss@a(uuu))", message->incarnation,
 			     peer_field_text(message->from),
@@ -156,7 +156,7 @@
 			message->refused.retry_after_us,
 			(guchar)message->refused.refusal, from, address);
 	case PEER_PROGRESS:
-		return peer_holdings_encode(message);
+		return peer_progress_encode(message);
 	case PEER_RELEASE:
 		return g_variant_new(
 			format, incarnation, message->release.ticket,
@@ -208,9 +208,11 @@
 }
 
 /*
- * The record of a message. Numbers are cut to the range a reader accepts,
- * texts are not: a reader refuses texts over 64 bytes. true_tokens stays
- * behind; it exists in benches only.
+ * Returns the record of a message, owned by the caller. Counts, limits and the
+ * priority are clamped to the range that the decoder accepts. Times, revisions
+ * and texts are encoded unchanged; the decoder rejects those out of range, such
+ * as texts over 64 bytes. true_tokens is not encoded, since only benches set
+ * it.
  */
 GBytes *peer_codec_encode(const struct peer_message *message)
 {
@@ -220,25 +222,25 @@
 
 	body = to_little_endian(body);
 	size = g_variant_get_size(body);
-	record = g_malloc0(HEAD_BYTES + size);
+	record = g_malloc0(RECORD_HEADER_BYTES + size);
 	memcpy(record, magic, sizeof(magic));
 	record[sizeof(magic)] = (uint8_t)message->type;
-	g_variant_store(body, record + HEAD_BYTES);
+	g_variant_store(body, record + RECORD_HEADER_BYTES);
 	g_variant_unref(body);
-	return g_bytes_new_take(record, HEAD_BYTES + size);
+	return g_bytes_new_take(record, RECORD_HEADER_BYTES + size);
 }
 
 static bool decode_fail(struct error *error, enum error_code code,
 			const char *peer, const char *what)
 {
-	error_set(error, code, STEP, peer, "%s", what);
+	error_set(error, code, DECODE_STEP, peer, "%s", what);
 	return false;
 }
 
-static bool check(struct error *error, const char *peer, bool legal,
+static bool check(struct error *error, const char *peer, bool valid,
 		  const char *what)
 {
-	return legal || decode_fail(error, ERROR_INVALID, peer, what);
+	return valid || decode_fail(error, ERROR_INVALID, peer, what);
 }
 
 static bool decode_members(GVariant *list, struct peer_message *message,
@@ -264,18 +266,18 @@
 		member->state = (enum member_state)state;
 		if (!check(error, message->from,
 			   state <= MEMBER_DEAD && member->incarnation != 0 &&
-				   member->version <= MAX_VERSION &&
+				   member->version <= MAX_MEMBER_VERSION &&
 				   member->config_revision >= 0,
 			   "member out of range") ||
 		    !check(error, message->from,
-			   peer_field_text_is_legal(member->name, false) &&
-				   peer_field_text_is_legal(
+			   peer_field_text_is_valid(member->name, false) &&
+				   peer_field_text_is_valid(
 					   member->http_address, true) &&
-				   peer_field_text_is_legal(
+				   peer_field_text_is_valid(
 					   member->peer_address, false) &&
-				   peer_field_text_is_legal(member->region,
+				   peer_field_text_is_valid(member->region,
 							    true) &&
-				   peer_field_text_is_legal(
+				   peer_field_text_is_valid(
 					   member->failure_domain, true),
 			   "text of a member out of range"))
 			return false;
@@ -292,7 +294,7 @@
 	g_variant_get_child(body, 1, "t", &message->probe.number);
 	g_variant_get_child(body, 4, "s", &message->probe.subject);
 	if (!check(error, message->from,
-		   peer_field_text_is_legal(message->probe.subject,
+		   peer_field_text_is_valid(message->probe.subject,
 					    message->type != PEER_PROBE),
 		   "subject out of range"))
 		return false;
@@ -325,8 +327,8 @@
 			     priority <= MAX_PRIORITY,
 		     "placement out of range") &&
 	       check(error, message->from,
-		     peer_field_text_is_legal(place->service, false) &&
-			     peer_field_text_is_legal(place->organisation,
+		     peer_field_text_is_valid(place->service, false) &&
+			     peer_field_text_is_valid(place->organisation,
 						      true),
 		     "text of a placement out of range");
 }
@@ -337,7 +339,7 @@
 	g_variant_get_child(body, 1, "t", &message->placed.ticket);
 	g_variant_get_child(body, 4, "s", &message->placed.endpoint);
 	return check(error, message->from,
-		     peer_field_text_is_legal(message->placed.endpoint, true),
+		     peer_field_text_is_valid(message->placed.endpoint, true),
 		     "endpoint out of range");
 }
 
@@ -383,8 +385,8 @@
 			  struct error *error)
 {
 	struct peer_config *config = &message->config;
-	bool is_ask = message->type == PEER_CONFIG_ASK ||
-		      message->type == PEER_ROUTES_ASK;
+	bool is_request = message->type == PEER_CONFIG_ASK ||
+			  message->type == PEER_ROUTES_ASK;
 	GVariant *bytes = g_variant_get_child_value(body, 4);
 	gsize size = g_variant_get_size(bytes);
 
@@ -394,7 +396,7 @@
 	g_variant_unref(bytes);
 	return check(error, message->from,
 		     config->revision >= 0 && size <= MAX_DOCUMENT_BYTES &&
-			     (size > 0) == !is_ask,
+			     (size > 0) == !is_request,
 		     "configuration out of range");
 }
 
@@ -412,7 +414,7 @@
 		g_variant_get_child(list, i, "s", &endpoint);
 		g_ptr_array_add(message->leaving.endpoints, endpoint);
 		valid = check(error, message->from,
-			      peer_field_text_is_legal(endpoint, false),
+			      peer_field_text_is_valid(endpoint, false),
 			      "endpoint out of range");
 	}
 	g_variant_unref(list);
@@ -426,7 +428,7 @@
 	g_variant_get_child(body, 4, "s", &message->quarantine.endpoint);
 	return check(
 		error, message->from,
-		peer_field_text_is_legal(message->quarantine.endpoint, true),
+		peer_field_text_is_valid(message->quarantine.endpoint, true),
 		"endpoint out of range");
 }
 
@@ -467,7 +469,7 @@
 		return decode_refused(body, message, error);
 	case PEER_PROGRESS:
 		return check(error, message->from,
-			     peer_holdings_decode(body, &message->progress),
+			     peer_progress_decode(body, &message->progress),
 			     "progress out of range");
 	case PEER_RELEASE:
 		return decode_release(body, message, error);
@@ -483,11 +485,11 @@
 	case PEER_CHOOSE:
 		return check(error, message->from,
 			     peer_choose_decode(body, &message->choose),
-			     "question for an engine out of range");
+			     "engine request out of range");
 	case PEER_CHOSEN:
 		return check(error, message->from,
 			     peer_chosen_decode(body, &message->chosen),
-			     "chosen engine out of range");
+			     "assigned engine out of range");
 	case PEER_LEAVING:
 		return decode_leaving(body, message, error);
 	case PEER_QUARANTINE:
@@ -501,38 +503,38 @@
 	return false;
 }
 
-/* Where the sender's name stands; its address follows. */
-static gsize sender_position(enum peer_message_type type)
+/* Index of the sender's name in the body; the sender's address follows it. */
+static gsize sender_child_index(enum peer_message_type type)
 {
 	return (gsize)(strchr(body_formats[type], 's') - body_formats[type]) -
 	       1;
 }
 
-/* Frequent records leave the sender's name and address out, both or none. */
-static bool sender_is_legal(const struct peer_message *message)
+/* Frequent records omit the sender's name and address, always both of them. */
+static bool sender_is_valid(const struct peer_message *message)
 {
 	if (message->incarnation == 0)
 		return false;
 	if (!*message->from && !*message->from_address)
 		return message->type != PEER_PING &&
 		       message->type != PEER_ACK && message->type != PEER_PROBE;
-	return peer_field_text_is_legal(message->from, false) &&
-	       peer_field_text_is_legal(message->from_address, false);
+	return peer_field_text_is_valid(message->from, false) &&
+	       peer_field_text_is_valid(message->from_address, false);
 }
 
 static bool decode_sender(GVariant *body, struct peer_message *message,
 			  struct error *error)
 {
-	gsize position = sender_position(message->type);
+	gsize index = sender_child_index(message->type);
 
 	g_variant_get_child(body, 0, "t", &message->incarnation);
-	g_variant_get_child(body, position, "s", &message->from);
-	g_variant_get_child(body, position + 1, "s", &message->from_address);
-	return check(error, "", sender_is_legal(message),
+	g_variant_get_child(body, index, "s", &message->from);
+	g_variant_get_child(body, index + 1, "s", &message->from_address);
+	return check(error, "", sender_is_valid(message),
 		     "sender out of range");
 }
 
-static bool check_head(GBytes *record, struct error *error)
+static bool check_record_header(GBytes *record, struct error *error)
 {
 	static const uint8_t zeros[3];
 	gsize size;
@@ -541,7 +543,7 @@
 	if (size > MAX_RECORD_BYTES)
 		return decode_fail(error, ERROR_TOO_LARGE, "",
 				   "record too large");
-	if (size < HEAD_BYTES)
+	if (size < RECORD_HEADER_BYTES)
 		return decode_fail(error, ERROR_INVALID, "",
 				   "record too short");
 	if (memcmp(data, magic, sizeof(magic)) != 0)
@@ -554,9 +556,10 @@
 }
 
 /*
- * The message in a record, or NULL and an error: ERROR_TOO_LARGE or
- * ERROR_INVALID, with the sender's name as peer where it could be read.
- * Nothing of the record is used before all of it was found in normal form.
+ * Returns the message in a record, owned by the caller, or NULL with
+ * ERROR_TOO_LARGE or ERROR_INVALID; the error's peer is the sender's name once
+ * that is decoded. The body is read only after all of it has been verified to
+ * be in normal form.
  */
 struct peer_message *peer_codec_decode(GBytes *record, struct error *error)
 {
@@ -565,11 +568,12 @@
 	GBytes *bytes;
 	GVariant *body;
 
-	if (!check_head(record, error))
+	if (!check_record_header(record, error))
 		return NULL;
 	type = ((const uint8_t *)g_bytes_get_data(record, NULL))[4];
-	bytes = g_bytes_new_from_bytes(record, HEAD_BYTES,
-				       g_bytes_get_size(record) - HEAD_BYTES);
+	bytes = g_bytes_new_from_bytes(record, RECORD_HEADER_BYTES,
+				       g_bytes_get_size(record) -
+					       RECORD_HEADER_BYTES);
 	body = g_variant_ref_sink(g_variant_new_from_bytes(
 		G_VARIANT_TYPE(body_formats[type]), bytes, FALSE));
 	g_bytes_unref(bytes);
--- a/codec/peer_codec.h
+++ b/codec/peer_codec.h
@@ -9,9 +9,10 @@
 G_BEGIN_DECLS
 
 /*
- * Peer messages as GVariant records in little-endian normal form behind a
- * magic and a version byte. Decoding trusts nothing: size, normal form, type,
- * lengths and ranges are checked, and ERROR_INVALID names what was wrong.
+ * Messages between nodes, encoded as GVariant records in little-endian normal
+ * form after a header with a magic and a version byte. Records are untrusted
+ * input: the decoder checks size, normal form, type, lengths and ranges, and
+ * the detail of ERROR_INVALID names the failed check.
  */
 GBytes *peer_codec_encode(const struct peer_message *message);
 struct peer_message *peer_codec_decode(GBytes *record, struct error *error);
--- a/codec/peer_field.c
+++ b/codec/peer_field.c
@@ -2,23 +2,23 @@
 
 #include <string.h>
 
-/* The text to be written; NULL is written as "". */
+/* Returns the text to encode: text itself, or "" for NULL. */
 const char *peer_field_text(const char *text)
 {
 	return text ? text : "";
 }
 
-/* A number of tokens to be written, cut to what a reader accepts. */
+/* Returns the token count to encode, clamped to what the decoder accepts. */
 guint32 peer_field_tokens(int64_t tokens)
 {
 	return (guint32)CLAMP(tokens, 0, PEER_FIELD_MAX_TOKENS);
 }
 
 /*
- * Whether a text that was read may be used. Texts end up in logs, dumps and
- * connects: short, and no control bytes.
+ * Checks a decoded text. Texts go into logs, dumps and connection addresses, so
+ * they must be short and contain no control characters.
  */
-bool peer_field_text_is_legal(const char *text, bool may_be_empty)
+bool peer_field_text_is_valid(const char *text, bool may_be_empty)
 {
 	size_t length = strlen(text);
 
--- a/codec/peer_field.h
+++ b/codec/peer_field.h
@@ -7,14 +7,14 @@
 
 G_BEGIN_DECLS
 
-/* Fields of records between nodes, and their bounds. */
+/* Fields of the records between nodes, and their limits. */
 
 #define PEER_FIELD_MAX_TEXT_BYTES 64
 #define PEER_FIELD_MAX_TOKENS ((int64_t)1 << 31)
 
 const char *peer_field_text(const char *text);
 guint32 peer_field_tokens(int64_t tokens);
-bool peer_field_text_is_legal(const char *text, bool may_be_empty);
+bool peer_field_text_is_valid(const char *text, bool may_be_empty);
 
 G_END_DECLS
 
--- a/codec/peer_holdings.c
+++ b/codec/peer_holdings.c
@@ -3,34 +3,34 @@
 #include "codec/peer_field.h"
 
 #define MAX_HOLDINGS 16384
-#define PROGRESS_COLUMNS 14
+#define PROGRESS_CHILDREN 14
 
 /*
- * Holdings go in columns: a node with 800 streams reports all of them every
- * few seconds, so names are sent once in a table, numbers in four bytes, and a
- * column that is all zero not at all. Index 0 is the empty name.
+ * Holdings are encoded in columns, because a node with 800 streams sends all of
+ * them every few seconds: each name is sent once in a table, numbers take four
+ * bytes, and a column of zeros is sent empty. Index 0 is the empty name.
  */
 struct columns {
 	GPtrArray *names; /* not owned */
-	GHashTable *index;
-	GArray *tickets;    /* uint64_t */
-	GArray *offsets;    /* uint32_t, from the base ticket */
-	GArray *places[3];  /* uint16_t: service, endpoint, organisation */
-	GArray *numbers[3]; /* uint32_t: prompt, max, tokens */
-	uint64_t base;
+	GHashTable *index_by_name;
+	GArray *tickets;	 /* uint64_t */
+	GArray *offsets;	 /* uint32_t, from base_ticket */
+	GArray *name_indices[3]; /* uint16_t: service, endpoint, organisation */
+	GArray *token_counts[3]; /* uint32_t: prompt, max, tokens */
+	uint64_t base_ticket;
 };
 
-static uint16_t columns_index(struct columns *columns, const char *name)
+static uint16_t columns_add_name(struct columns *columns, const char *name)
 {
 	gpointer found;
 
 	if (!name || !*name)
 		return 0;
-	found = g_hash_table_lookup(columns->index, name);
+	found = g_hash_table_lookup(columns->index_by_name, name);
 	if (found)
 		return (uint16_t)GPOINTER_TO_UINT(found);
 	g_ptr_array_add(columns->names, (gpointer)name);
-	g_hash_table_insert(columns->index, (gpointer)name,
+	g_hash_table_insert(columns->index_by_name, (gpointer)name,
 			    GUINT_TO_POINTER(columns->names->len));
 	return (uint16_t)columns->names->len;
 }
@@ -38,13 +38,13 @@
 static void columns_init(struct columns *columns)
 {
 	columns->names = g_ptr_array_new();
-	columns->index = g_hash_table_new(g_str_hash, g_str_equal);
+	columns->index_by_name = g_hash_table_new(g_str_hash, g_str_equal);
 	columns->tickets = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	columns->offsets = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	for (int i = 0; i < 3; i++) {
-		columns->places[i] =
+		columns->name_indices[i] =
 			g_array_new(FALSE, FALSE, sizeof(uint16_t));
-		columns->numbers[i] =
+		columns->token_counts[i] =
 			g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	}
 }
@@ -52,47 +52,51 @@
 static void columns_clear(struct columns *columns)
 {
 	g_ptr_array_unref(columns->names);
-	g_hash_table_unref(columns->index);
+	g_hash_table_unref(columns->index_by_name);
 	g_array_unref(columns->tickets);
 	g_array_unref(columns->offsets);
 	for (int i = 0; i < 3; i++) {
-		g_array_unref(columns->places[i]);
-		g_array_unref(columns->numbers[i]);
+		g_array_unref(columns->name_indices[i]);
+		g_array_unref(columns->token_counts[i]);
 	}
 }
 
 static void columns_add(struct columns *columns,
 			const struct peer_holding *holding)
 {
-	uint16_t places[] = {columns_index(columns, holding->service),
-			     columns_index(columns, holding->endpoint),
-			     columns_index(columns, holding->organisation)};
-	uint32_t numbers[] = {peer_field_tokens(holding->prompt_tokens),
-			      peer_field_tokens(holding->max_tokens),
-			      peer_field_tokens(holding->tokens)};
+	uint16_t name_indices[] = {
+		columns_add_name(columns, holding->service),
+		columns_add_name(columns, holding->endpoint),
+		columns_add_name(columns, holding->organisation)};
+	uint32_t token_counts[] = {peer_field_tokens(holding->prompt_tokens),
+				   peer_field_tokens(holding->max_tokens),
+				   peer_field_tokens(holding->tokens)};
 
 	g_array_append_val(columns->tickets, holding->ticket);
 	for (int i = 0; i < 3; i++) {
-		g_array_append_val(columns->places[i], places[i]);
-		g_array_append_val(columns->numbers[i], numbers[i]);
+		g_array_append_val(columns->name_indices[i], name_indices[i]);
+		g_array_append_val(columns->token_counts[i], token_counts[i]);
 	}
 }
 
-/* Tickets as offsets from the least one, where four bytes are enough. */
+/*
+ * Replaces the tickets by offsets from the smallest one if four bytes hold each
+ * offset.
+ */
 static void columns_pack_tickets(struct columns *columns)
 {
 	const uint64_t *tickets = (const uint64_t *)columns->tickets->data;
-	uint64_t least = UINT64_MAX, most = 0;
+	uint64_t min_ticket = UINT64_MAX, max_ticket = 0;
 
 	for (guint i = 0; i < columns->tickets->len; i++) {
-		least = MIN(least, tickets[i]);
-		most = MAX(most, tickets[i]);
+		min_ticket = MIN(min_ticket, tickets[i]);
+		max_ticket = MAX(max_ticket, tickets[i]);
 	}
-	if (columns->tickets->len == 0 || most - least > UINT32_MAX)
+	if (columns->tickets->len == 0 || max_ticket - min_ticket > UINT32_MAX)
 		return;
-	columns->base = least;
+	columns->base_ticket = min_ticket;
 	for (guint i = 0; i < columns->tickets->len; i++) {
-		uint32_t offset = (uint32_t)(tickets[i] - least);
+		uint32_t offset = (uint32_t)(tickets[i] - min_ticket);
 
 		g_array_append_val(columns->offsets, offset);
 	}
@@ -113,9 +117,12 @@
 					 size);
 }
 
-/* The body of a PEER_PROGRESS record, of type PEER_HOLDINGS_FORMAT, floating.
+/*
+ * Returns the body of a PEER_PROGRESS record, of type PEER_PROGRESS_FORMAT, as
+ * a floating variant. Holdings beyond MAX_HOLDINGS are omitted, and the record
+ * is then not marked as complete.
  */
-GVariant *peer_holdings_encode(const struct peer_message *message)
+GVariant *peer_progress_encode(const struct peer_message *message)
 {
 	const struct peer_progress *progress = &message->progress;
 	guint count = MIN(progress->holdings->len, MAX_HOLDINGS);
@@ -129,7 +136,7 @@
 	columns_pack_tickets(&columns);
 	body = g_variant_new(
 		"(ttbss@as@at@au@aq@aq@aq@au@au@au)", message->incarnation,
-		columns.base, (gboolean)complete,
+		columns.base_ticket, (gboolean)complete,
 		peer_field_text(message->from),
 		peer_field_text(message->from_address),
 		g_variant_new_strv((const char *const *)columns.names->pdata,
@@ -140,45 +147,46 @@
 		g_variant_new_fixed_array(G_VARIANT_TYPE_UINT32,
 					  columns.offsets->data,
 					  columns.offsets->len, 4),
-		column_to_variant(columns.places[0], "q"),
-		column_to_variant(columns.places[1], "q"),
-		column_to_variant(columns.places[2], "q"),
-		column_to_variant(columns.numbers[0], "u"),
-		column_to_variant(columns.numbers[1], "u"),
-		column_to_variant(columns.numbers[2], "u"));
+		column_to_variant(columns.name_indices[0], "q"),
+		column_to_variant(columns.name_indices[1], "q"),
+		column_to_variant(columns.name_indices[2], "q"),
+		column_to_variant(columns.token_counts[0], "u"),
+		column_to_variant(columns.token_counts[1], "u"),
+		column_to_variant(columns.token_counts[2], "u"));
 	columns_clear(&columns);
 	return body;
 }
 
 struct progress_body {
-	GVariant *child[PROGRESS_COLUMNS]; /* from names on */
-	uint64_t base;
+	GVariant *children[PROGRESS_CHILDREN]; /* filled from 5, the names */
+	uint64_t base_ticket;
 	gsize count; /* holdings */
 	const char **names;
 	gsize name_count;
 	const guint64 *tickets;
 	const guint32 *offsets;
-	const guint16 *places[3];
-	const guint32 *numbers[3];
+	const guint16 *name_indices[3];
+	const guint32 *token_counts[3];
 };
 
 static void progress_body_clear(struct progress_body *progress)
 {
-	for (int i = 0; i < PROGRESS_COLUMNS; i++) {
-		if (progress->child[i])
-			g_variant_unref(progress->child[i]);
+	for (int i = 0; i < PROGRESS_CHILDREN; i++) {
+		if (progress->children[i])
+			g_variant_unref(progress->children[i]);
 	}
 	g_free(progress->names);
 }
 
-/* A column is whole or empty; an empty one stands for zeros. */
+/* A column has one value per holding, or is empty, which means all zeros. */
 static bool progress_body_column(const struct progress_body *progress, int i,
 				 gsize size, const void *data)
 {
 	const void **column = (const void **)data;
 	gsize length;
 
-	*column = g_variant_get_fixed_array(progress->child[i], &length, size);
+	*column =
+		g_variant_get_fixed_array(progress->children[i], &length, size);
 	if (length == 0)
 		*column = NULL;
 	return length == 0 || length == progress->count;
@@ -186,12 +194,12 @@
 
 static bool progress_body_names(struct progress_body *progress)
 {
-	progress->names =
-		g_variant_get_strv(progress->child[5], &progress->name_count);
+	progress->names = g_variant_get_strv(progress->children[5],
+					     &progress->name_count);
 	if (progress->name_count > G_MAXUINT16)
 		return false;
 	for (gsize i = 0; i < progress->name_count; i++) {
-		if (!peer_field_text_is_legal(progress->names[i], false))
+		if (!peer_field_text_is_valid(progress->names[i], false))
 			return false;
 	}
 	return true;
@@ -201,37 +209,37 @@
 {
 	bool valid;
 
-	g_variant_get_child(body, 1, "t", &progress->base);
-	for (int i = 5; i < PROGRESS_COLUMNS; i++)
-		progress->child[i] = g_variant_get_child_value(body, i);
-	progress->count = g_variant_n_children(progress->child[6]) +
-			  g_variant_n_children(progress->child[7]);
+	g_variant_get_child(body, 1, "t", &progress->base_ticket);
+	for (int i = 5; i < PROGRESS_CHILDREN; i++)
+		progress->children[i] = g_variant_get_child_value(body, i);
+	progress->count = g_variant_n_children(progress->children[6]) +
+			  g_variant_n_children(progress->children[7]);
 	valid = progress->count <= MAX_HOLDINGS &&
 		progress_body_names(progress) &&
 		progress_body_column(progress, 6, 8, &progress->tickets) &&
 		progress_body_column(progress, 7, 4, &progress->offsets);
 	for (int i = 0; valid && i < 3; i++)
 		valid = progress_body_column(progress, 8 + i, 2,
-					     &progress->places[i]) &&
+					     &progress->name_indices[i]) &&
 			progress_body_column(progress, 11 + i, 4,
-					     &progress->numbers[i]);
+					     &progress->token_counts[i]);
 	return valid;
 }
 
-static int64_t progress_body_number(const struct progress_body *progress,
+static int64_t progress_body_tokens(const struct progress_body *progress,
 				    int column, gsize i)
 {
-	const guint32 *numbers = progress->numbers[column];
+	const guint32 *token_counts = progress->token_counts[column];
 
-	return numbers ? numbers[i] : 0;
+	return token_counts ? token_counts[i] : 0;
 }
 
-/* A new text, or NULL where the index points outside the table. */
+/* Returns a new string, or NULL if the index is outside the table of names. */
 static char *progress_body_name(const struct progress_body *progress,
 				int column, gsize i)
 {
-	const guint16 *places = progress->places[column];
-	guint16 index = places ? places[i] : 0;
+	const guint16 *name_indices = progress->name_indices[column];
+	guint16 index = name_indices ? name_indices[i] : 0;
 
 	if (index == 0)
 		return g_strdup("");
@@ -248,13 +256,13 @@
 	if (progress->tickets)
 		holding->ticket = progress->tickets[i];
 	else
-		holding->ticket = progress->base + progress->offsets[i];
+		holding->ticket = progress->base_ticket + progress->offsets[i];
 	holding->service = progress_body_name(progress, 0, i);
 	holding->endpoint = progress_body_name(progress, 1, i);
 	holding->organisation = progress_body_name(progress, 2, i);
-	holding->prompt_tokens = progress_body_number(progress, 0, i);
-	holding->max_tokens = progress_body_number(progress, 1, i);
-	holding->tokens = progress_body_number(progress, 2, i);
+	holding->prompt_tokens = progress_body_tokens(progress, 0, i);
+	holding->max_tokens = progress_body_tokens(progress, 1, i);
+	holding->tokens = progress_body_tokens(progress, 2, i);
 	return holding->service && holding->endpoint && holding->organisation &&
 	       holding->prompt_tokens <= PEER_FIELD_MAX_TOKENS &&
 	       holding->max_tokens <= PEER_FIELD_MAX_TOKENS &&
@@ -262,10 +270,11 @@
 }
 
 /*
- * Takes the holdings from a body in normal form. False: a column has another
- * length than the rest, or an index, text or number is out of range.
+ * Fills result with the holdings of a body in normal form. Returns false if a
+ * column differs in length from the others, or if an index, text or number is
+ * out of range.
  */
-bool peer_holdings_decode(GVariant *body, struct peer_progress *result)
+bool peer_progress_decode(GVariant *body, struct peer_progress *result)
 {
 	struct progress_body progress = {0};
 	gboolean complete;
--- a/codec/peer_holdings.h
+++ b/codec/peer_holdings.h
@@ -8,12 +8,12 @@
 
 G_BEGIN_DECLS
 
-/* The body of PEER_PROGRESS: what a node holds, in columns. */
+/* The body of PEER_PROGRESS: the grants that a node holds, in columns. */
 
-#define PEER_HOLDINGS_FORMAT "(ttbssasatauaqaqaqauauau)"
+#define PEER_PROGRESS_FORMAT "(ttbssasatauaqaqaqauauau)"
 
-GVariant *peer_holdings_encode(const struct peer_message *message);
-bool peer_holdings_decode(GVariant *body, struct peer_progress *result);
+GVariant *peer_progress_encode(const struct peer_message *message);
+bool peer_progress_decode(GVariant *body, struct peer_progress *result);
 
 G_END_DECLS
 
--- a/codec/peer_standing.c
+++ b/codec/peer_standing.c
@@ -5,14 +5,14 @@
 #define MAX_HELD 16384
 #define MAX_REGISTRATIONS 16384
 #define MAX_REQUESTS 1000000
-#define CHILD_ADDRESS 7
+#define CHILD_CALLERS_ADDRESS 7
 #define CHILD_HELD 8
 #define CHILD_REGISTRATIONS 9
 
 /*
- * PEER_HELD_FORMAT as it lies in memory and in the record: the list of what a
- * node holds is read and written in one piece, since it comes from each node
- * several times a second.
+ * The layout of PEER_HELD_FORMAT in memory and in the record. The list of a
+ * node's load per endpoint is encoded and decoded as one block, since every
+ * node sends it several times a second.
  */
 struct held_record {
 	uint64_t endpoint_key;
@@ -57,22 +57,26 @@
 	g_variant_builder_init(&builder,
 			       G_VARIANT_TYPE("a" PEER_REGISTRATION_FORMAT));
 	for (guint i = 0; i < list->len; i++) {
-		const struct registration *said = g_ptr_array_index(list, i);
+		const struct registration *entry = g_ptr_array_index(list, i);
 
 		g_variant_builder_add(
 			&builder, PEER_REGISTRATION_FORMAT,
-			peer_field_text(said->id),
-			peer_field_text(said->service),
-			peer_field_text(said->address),
-			peer_field_text(said->failure_domain), said->started_ms,
-			said->warmup_left_us, said->revision,
-			(guint32)CLAMP(said->slots, 0, MAX_REQUESTS),
-			(guchar)said->is_leaving, (guchar)said->is_removed);
+			peer_field_text(entry->id),
+			peer_field_text(entry->service),
+			peer_field_text(entry->address),
+			peer_field_text(entry->failure_domain),
+			entry->started_ms, entry->warmup_left_us,
+			entry->revision,
+			(guint32)CLAMP(entry->slots, 0, MAX_REQUESTS),
+			(guchar)entry->is_leaving, (guchar)entry->is_removed);
 	}
 	return g_variant_builder_end(&builder);
 }
 
-/* The record's body; texts over 64 bytes make the reader refuse it. */
+/*
+ * Returns the body of a PEER_STANDING record as a floating variant. Texts are
+ * not truncated; the decoder rejects a record with a text over 64 bytes.
+ */
 GVariant *peer_standing_encode(const struct peer_message *message)
 {
 	const struct peer_standing *standing = &message->standing;
@@ -115,15 +119,15 @@
 	return true;
 }
 
-static bool registration_is_legal(const struct registration *said)
+static bool registration_is_valid(const struct registration *entry)
 {
-	return peer_field_text_is_legal(said->id, false) &&
-	       peer_field_text_is_legal(said->service, said->is_removed) &&
-	       peer_field_text_is_legal(said->address, said->is_removed) &&
-	       peer_field_text_is_legal(said->failure_domain, true) &&
-	       said->revision >= 0 && said->started_ms >= 0 &&
-	       said->warmup_left_us >= 0 && said->slots >= 0 &&
-	       said->slots <= MAX_REQUESTS;
+	return peer_field_text_is_valid(entry->id, false) &&
+	       peer_field_text_is_valid(entry->service, entry->is_removed) &&
+	       peer_field_text_is_valid(entry->address, entry->is_removed) &&
+	       peer_field_text_is_valid(entry->failure_domain, true) &&
+	       entry->revision >= 0 && entry->started_ms >= 0 &&
+	       entry->warmup_left_us >= 0 && entry->slots >= 0 &&
+	       entry->slots <= MAX_REQUESTS;
 }
 
 static bool decode_registrations(GVariant *list, struct peer_standing *standing)
@@ -133,26 +137,27 @@
 	if (count > MAX_REGISTRATIONS)
 		return false;
 	for (gsize i = 0; i < count; i++) {
-		struct registration *said = g_new0(struct registration, 1);
+		struct registration *entry = g_new0(struct registration, 1);
 		guint32 slots;
 		guchar is_leaving, is_removed;
 
 		g_variant_get_child(list, i, PEER_REGISTRATION_FORMAT,
-				    &said->id, &said->service, &said->address,
-				    &said->failure_domain, &said->started_ms,
-				    &said->warmup_left_us, &said->revision,
-				    &slots, &is_leaving, &is_removed);
-		said->slots = (int32_t)MIN(slots, (guint32)INT32_MAX);
-		said->is_leaving = is_leaving;
-		said->is_removed = is_removed;
-		g_ptr_array_add(standing->registrations, said);
-		if (!registration_is_legal(said))
+				    &entry->id, &entry->service,
+				    &entry->address, &entry->failure_domain,
+				    &entry->started_ms, &entry->warmup_left_us,
+				    &entry->revision, &slots, &is_leaving,
+				    &is_removed);
+		entry->slots = (int32_t)MIN(slots, (guint32)INT32_MAX);
+		entry->is_leaving = is_leaving;
+		entry->is_removed = is_removed;
+		g_ptr_array_add(standing->registrations, entry);
+		if (!registration_is_valid(entry))
 			return false;
 	}
 	return true;
 }
 
-/* Fills the standing in; false if a value is out of its range. */
+/* Fills standing from a body. Returns false if a value is out of range. */
 bool peer_standing_decode(GVariant *body, struct peer_standing *standing)
 {
 	GVariant *held = g_variant_get_child_value(body, CHILD_HELD);
@@ -165,12 +170,12 @@
 	g_variant_get_child(body, 2, "t", &standing->answered);
 	g_variant_get_child(body, 3, "b", &takes_work);
 	g_variant_get_child(body, 4, "b", &reaches_store);
-	g_variant_get_child(body, CHILD_ADDRESS, "s",
+	g_variant_get_child(body, CHILD_CALLERS_ADDRESS, "s",
 			    &standing->callers_address);
 	standing->takes_work = takes_work;
 	standing->reaches_store = reaches_store;
 	valid = standing->table_version >= -1 &&
-		peer_field_text_is_legal(standing->callers_address, true) &&
+		peer_field_text_is_valid(standing->callers_address, true) &&
 		decode_held(held, standing) &&
 		decode_registrations(registrations, standing);
 	g_variant_unref(held);
--- a/codec/vm_list_json.c
+++ b/codec/vm_list_json.c
@@ -36,9 +36,11 @@
 }
 
 /*
- * Reads the platform's list. One bad entry spoils the whole answer: a list
- * read in part would look as if the other VMs were gone. Members that are not
- * known are passed over.
+ * Parses the platform's list of VMs. Returns an array of struct vm that owns
+ * the addresses and that the caller owns, or NULL with ERROR_INVALID or
+ * ERROR_TOO_LARGE. One invalid entry fails the whole list, since the VMs
+ * missing from a partial list would appear to be gone. Unknown members are
+ * ignored.
  */
 GArray *vm_list_json_parse(GBytes *body, size_t max_bytes, struct error *error)
 {
--- a/codec/vm_list_json.h
+++ b/codec/vm_list_json.h
@@ -9,7 +9,7 @@
 
 G_BEGIN_DECLS
 
-/* An array of struct vm that owns its addresses, or NULL with an error. */
+/* The list of VMs that the platform answers with. */
 GArray *vm_list_json_parse(GBytes *body, size_t max_bytes, struct error *error);
 
 G_END_DECLS
--- a/tests/peer_codec_test.cc
+++ b/tests/peer_codec_test.cc
@@ -96,7 +96,7 @@
 
 static void fill_standing(struct peer_standing *standing)
 {
-	struct registration *said = g_new0(struct registration, 1);
+	struct registration *entry = g_new0(struct registration, 1);
 	struct peer_held *held = peer_standing_add(standing, UINT64_MAX - 7);
 
 	held->requests = 3;
@@ -108,16 +108,16 @@
 	standing->takes_work = true;
 	standing->reaches_store = true;
 	standing->callers_address = g_strdup("10.1.2.1:8740");
-	said->id = g_strdup("i-7f3a91c2");
-	said->service = g_strdup("report-writer");
-	said->address = g_strdup("10.2.0.1:9000");
-	said->failure_domain = g_strdup("casablanca-a");
-	said->started_ms = 1780000000000;
-	said->warmup_left_us = 400000;
-	said->revision = 812;
-	said->slots = 24;
-	said->is_leaving = true;
-	g_ptr_array_add(standing->registrations, said);
+	entry->id = g_strdup("i-7f3a91c2");
+	entry->service = g_strdup("report-writer");
+	entry->address = g_strdup("10.2.0.1:9000");
+	entry->failure_domain = g_strdup("casablanca-a");
+	entry->started_ms = 1780000000000;
+	entry->warmup_left_us = 400000;
+	entry->revision = 812;
+	entry->slots = 24;
+	entry->is_leaving = true;
+	g_ptr_array_add(standing->registrations, entry);
 }
 
 static struct peer_message *make_message(enum peer_message_type type)
@@ -207,7 +207,7 @@
 	return bytes;
 }
 
-/* Equal bytes after a second pass: nothing was lost or changed in the first. */
+/* Re-encoding a decoded message must give the same bytes. */
 TEST(PeerCodec, RoundTripsEveryType)
 {
 	for (int type = 0; type < PEER_MESSAGE_TYPES; type++) {
@@ -227,7 +227,7 @@
 	}
 }
 
-TEST(PeerCodec, KeepsFieldsApart)
+TEST(PeerCodec, DecodesEachFieldSeparately)
 {
 	struct error error;
 	struct peer_message *message =
@@ -272,7 +272,7 @@
 	peer_message_destroy(message);
 }
 
-TEST(PeerCodec, KeepsWhatANodeHoldsApart)
+TEST(PeerCodec, DecodesEachHeldCountSeparately)
 {
 	struct peer_message *message = peer_message_create(PEER_STANDING);
 	struct error error;
@@ -307,12 +307,13 @@
 }
 
 /*
- * Counts go by other nodes' word into sums of 32 bits: what a writer has is
- * cut to the range, and a record with more is refused whole.
+ * Other nodes' counts are added to sums of 32 bits, which must not overflow:
+ * the encoder clamps each count to its range, and the decoder rejects a record
+ * with a larger one.
  */
 TEST(PeerCodec, RefusesHeldCountsOutOfRange)
 {
-	const uint8_t last_of_each[] = {11, 15, 19, 23};
+	const uint8_t last_bytes[] = {11, 15, 19, 23};
 	struct peer_message *message = peer_message_create(PEER_STANDING);
 	struct error error;
 
@@ -338,16 +339,16 @@
 	const uint8_t key[] = {0xa5, 0xa5, 0, 0, 0, 0, 0, 0};
 	auto at = std::search(bytes.begin(), bytes.end(), key, key + 8);
 	ASSERT_NE(bytes.end(), at);
-	for (uint8_t last : last_of_each) {
-		std::vector<uint8_t> bad = bytes;
+	for (uint8_t last : last_bytes) {
+		std::vector<uint8_t> corrupted = bytes;
 
-		bad[at - bytes.begin() + last] = 0xff;
-		EXPECT_EQ(nullptr, decode(bad, &error)) << (int)last;
+		corrupted[at - bytes.begin() + last] = 0xff;
+		EXPECT_EQ(nullptr, decode(corrupted, &error)) << (int)last;
 		EXPECT_STREQ("standing out of range", error.detail);
 	}
 }
 
-TEST(PeerCodec, TakesTicketsFarApart)
+TEST(PeerCodec, DecodesTicketsFarApart)
 {
 	struct peer_message *message = peer_message_create(PEER_PROGRESS);
 	struct error error;
@@ -369,7 +370,7 @@
 	peer_message_destroy(message);
 }
 
-/* What a node sends at the planned size: 800 streams at once. */
+/* Limits the size of the record at the planned load of 800 streams a node. */
 TEST(PeerCodec, ProgressOfManyHoldingsIsCompact)
 {
 	for (bool full : {false, true}) {
@@ -391,10 +392,11 @@
 		std::vector<uint8_t> bytes = encode_type(type);
 
 		for (size_t size = 0; size < bytes.size(); size++) {
-			std::vector<uint8_t> cut(bytes.begin(),
-						 bytes.begin() + size);
+			std::vector<uint8_t> truncated(bytes.begin(),
+						       bytes.begin() + size);
 			struct error error;
-			struct peer_message *message = decode(cut, &error);
+			struct peer_message *message =
+				decode(truncated, &error);
 
 			ASSERT_EQ(nullptr, message) << type << " " << size;
 			EXPECT_NE(ERROR_NONE, error.code);
@@ -403,7 +405,7 @@
 	}
 }
 
-/* A flipped byte is refused or gives a message within every bound. */
+/* A corrupted byte is rejected or gives a message with valid fields. */
 TEST(PeerCodec, SurvivesFlippedBytes)
 {
 	GRand *random = g_rand_new_with_seed(7);
@@ -412,12 +414,13 @@
 		const std::vector<uint8_t> bytes = encode_type(type);
 
 		for (size_t i = 0; i < bytes.size() * 16; i++) {
-			std::vector<uint8_t> bad = bytes;
+			std::vector<uint8_t> corrupted = bytes;
 			struct error error;
 
-			bad[i % bad.size()] ^=
+			corrupted[i % corrupted.size()] ^=
 				(uint8_t)g_rand_int_range(random, 1, 256);
-			struct peer_message *message = decode(bad, &error);
+			struct peer_message *message =
+				decode(corrupted, &error);
 			if (!message)
 				continue;
 			EXPECT_LE(strlen(message->from), 64u);
@@ -432,7 +435,7 @@
 	g_rand_free(random);
 }
 
-TEST(PeerCodec, RefusesWhatIsTooLongOrOutOfRange)
+TEST(PeerCodec, RefusesLongTextsAndValuesOutOfRange)
 {
 	struct peer_message *message = make_message(PEER_PLACE);
 	struct error error;
@@ -475,11 +478,11 @@
 }
 
 /*
- * A home that has queued a request says so by an empty endpoint. Were that
- * refused on reading, the asker would think the home silent and go by its own
- * share, past the home's queue.
+ * An empty endpoint means that the home has queued the request. If the decoder
+ * rejected it, the requester would treat the home as unreachable and use its
+ * local share, bypassing the home's queue.
  */
-TEST(PeerCodec, TakesAnEmptyEndpointAsQueued)
+TEST(PeerCodec, AcceptsAnEmptyEndpointAsQueued)
 {
 	struct peer_message *message = peer_message_create(PEER_PLACED);
 	struct peer_message *decoded;
