--- a/adapters/bounded_request.c
+++ b/adapters/bounded_request.c
@@ -15,158 +15,162 @@
 	char *peer;
 	bool sent;
 	bool timed_out;
-	bool cancelled; /* nobody waits: free when the library lets go */
+	bool cancelled; /* done is not called; freed when libsoup finishes */
 	bounded_request_done done;
 	void *data;
 };
 
-static void bounded_request_stop_timer(struct bounded_request *call)
+static void bounded_request_stop_timer(struct bounded_request *request)
 {
-	if (!call->timer)
+	if (!request->timer)
 		return;
-	g_source_destroy(call->timer);
-	g_clear_pointer(&call->timer, g_source_unref);
+	g_source_destroy(request->timer);
+	g_clear_pointer(&request->timer, g_source_unref);
 }
 
-static void bounded_request_free(struct bounded_request *call)
+static void bounded_request_free(struct bounded_request *request)
 {
-	bounded_request_stop_timer(call);
-	if (call->message)
-		g_signal_handlers_disconnect_by_data(call->message, call);
-	g_clear_object(&call->message);
-	g_clear_object(&call->cancellable);
-	g_clear_object(&call->input);
-	g_byte_array_unref(call->body);
-	g_free(call->peer);
-	g_free(call);
+	bounded_request_stop_timer(request);
+	if (request->message)
+		g_signal_handlers_disconnect_by_data(request->message, request);
+	g_clear_object(&request->message);
+	g_clear_object(&request->cancellable);
+	g_clear_object(&request->input);
+	g_byte_array_unref(request->body);
+	g_free(request->peer);
+	g_free(request);
 }
 
-/* The call is over before the callback runs, so that it may start another. */
-static void bounded_request_finish(struct bounded_request *call,
+/* Frees the request before the callback runs, so that it may start another. */
+static void bounded_request_finish(struct bounded_request *request,
 				   struct bounded_result *result)
 {
-	bounded_request_done done = call->done;
-	void *data = call->data;
-	bool cancelled = call->cancelled;
+	bounded_request_done done = request->done;
+	void *data = request->data;
+	bool cancelled = request->cancelled;
 
-	result->sent = call->sent;
-	bounded_request_free(call);
+	result->sent = request->sent;
+	bounded_request_free(request);
 	if (!cancelled)
 		done(data, result);
 }
 
-static void bounded_request_fail(struct bounded_request *call,
+static void bounded_request_fail(struct bounded_request *request,
 				 enum error_code code, const char *detail)
 {
 	struct bounded_result result = {0};
 
-	if (call->timed_out)
+	if (request->timed_out)
 		code = ERROR_TIMEOUT;
-	else if (code == ERROR_CLOSED && !call->sent)
+	else if (code == ERROR_CLOSED && !request->sent)
 		code = ERROR_UNREACHABLE;
-	error_set(&result.error, code, call->step, call->peer, "%s",
-		  call->timed_out ? "no whole answer in time" : detail);
-	bounded_request_finish(call, &result);
+	error_set(&result.error, code, request->step, request->peer, "%s",
+		  request->timed_out ? "timed out before a complete answer"
+				     : detail);
+	bounded_request_finish(request, &result);
 }
 
-static void bounded_request_succeed(struct bounded_request *call)
+static void bounded_request_succeed(struct bounded_request *request)
 {
 	struct bounded_result result = {0};
-	GBytes *body = g_bytes_new(call->body->data, call->body->len);
+	GBytes *body = g_bytes_new(request->body->data, request->body->len);
 
-	result.status = (int32_t)soup_message_get_status(call->message);
+	result.status = (int32_t)soup_message_get_status(request->message);
 	result.body = body;
-	bounded_request_finish(call, &result);
+	bounded_request_finish(request, &result);
 	g_bytes_unref(body);
 }
 
-static void bounded_request_read(struct bounded_request *call);
+static void bounded_request_read(struct bounded_request *request);
 
 static void on_read(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct bounded_request *call = data;
+	struct bounded_request *request = data;
 	GError *cause = NULL;
 	GBytes *bytes = g_input_stream_read_bytes_finish(G_INPUT_STREAM(source),
 							 result, &cause);
 	size_t size;
 
 	if (!bytes) {
-		bounded_request_fail(call, ERROR_CLOSED, cause->message);
+		bounded_request_fail(request, ERROR_CLOSED, cause->message);
 		g_error_free(cause);
 		return;
 	}
 	size = g_bytes_get_size(bytes);
 	if (size == 0) {
-		bounded_request_succeed(call);
-	} else if (call->body->len + size > call->max_answer_bytes) {
-		bounded_request_fail(call, ERROR_TOO_LARGE,
-				     "answer over the limit");
+		bounded_request_succeed(request);
+	} else if (request->body->len + size > request->max_answer_bytes) {
+		bounded_request_fail(request, ERROR_TOO_LARGE,
+				     "answer exceeds the size limit");
 	} else {
-		g_byte_array_append(call->body, g_bytes_get_data(bytes, NULL),
-				    (guint)size);
-		bounded_request_read(call);
+		g_byte_array_append(request->body,
+				    g_bytes_get_data(bytes, NULL), (guint)size);
+		bounded_request_read(request);
 	}
 	g_bytes_unref(bytes);
 }
 
-static void bounded_request_read(struct bounded_request *call)
+static void bounded_request_read(struct bounded_request *request)
 {
-	g_input_stream_read_bytes_async(call->input, READ_BYTES,
-					G_PRIORITY_DEFAULT, call->cancellable,
-					on_read, call);
+	g_input_stream_read_bytes_async(request->input, READ_BYTES,
+					G_PRIORITY_DEFAULT,
+					request->cancellable, on_read, request);
 }
 
 static void on_headers(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct bounded_request *call = data;
+	struct bounded_request *request = data;
 	GError *cause = NULL;
 
-	call->input =
+	request->input =
 		soup_session_send_finish(SOUP_SESSION(source), result, &cause);
-	if (call->input) {
-		bounded_request_read(call);
+	if (request->input) {
+		bounded_request_read(request);
 		return;
 	}
-	bounded_request_fail(call, ERROR_CLOSED, cause->message);
+	bounded_request_fail(request, ERROR_CLOSED, cause->message);
 	g_error_free(cause);
 }
 
 static void on_starting(SoupMessage *message, gpointer data)
 {
-	struct bounded_request *call = data;
+	struct bounded_request *request = data;
 
 	(void)message;
-	call->sent = true;
+	request->sent = true;
 }
 
 static gboolean on_timeout(gpointer data)
 {
-	struct bounded_request *call = data;
+	struct bounded_request *request = data;
 
-	call->timed_out = true;
-	g_cancellable_cancel(call->cancellable);
+	request->timed_out = true;
+	g_cancellable_cancel(request->cancellable);
 	return G_SOURCE_REMOVE;
 }
 
-static gboolean on_refused(gpointer data)
+static gboolean on_invalid_request(gpointer data)
 {
-	struct bounded_request *call = data;
+	struct bounded_request *request = data;
 
-	bounded_request_fail(call, ERROR_INVALID,
-			     call->message ? "request over the limit"
-					   : "not an address");
+	bounded_request_fail(request, ERROR_INVALID,
+			     request->message ? "request exceeds the size limit"
+					      : "invalid URL");
 	return G_SOURCE_REMOVE;
 }
 
-static void bounded_request_attach(struct bounded_request *call,
-				   GSource *source, GSourceFunc run)
+static void bounded_request_add_source(struct bounded_request *request,
+				       GSource *source, GSourceFunc run)
 {
-	call->timer = source;
-	g_source_set_callback(source, run, call, NULL);
+	request->timer = source;
+	g_source_set_callback(source, run, request, NULL);
 	g_source_attach(source, g_main_context_get_thread_default());
 }
 
-/* The message for a spec, or NULL if its URL is none. */
+/*
+ * Creates the message for a request, without starting it. NULL if the URL is
+ * invalid; the caller owns the message.
+ */
 SoupMessage *
 bounded_request_create_message(const struct bounded_request_spec *spec)
 {
@@ -184,49 +188,55 @@
 }
 
 /*
- * Starts a request; done is called once, never from inside this function,
- * unless the request is cancelled before. fresh_connection is for writes. On a
- * kept connection a write can be sent just as the server closes it, and is
- * then in doubt although nothing is wrong; and where the server is gone, only
- * a refused connection proves that nothing was sent. The library sends again
- * by itself only what it holds to be idempotent, which a POST is not.
+ * Starts a request. done is called once, never from inside this function, and
+ * not at all if the request is cancelled first. The request is freed before
+ * done is called. An invalid URL or a body over max_request_bytes fails with
+ * ERROR_INVALID.
+ *
+ * Writes set fresh_connection. On a reused connection a write can be sent just
+ * as the server closes it, which leaves its outcome in doubt although nothing
+ * failed; and if the server is down, only a refused connection proves that
+ * nothing was sent. libsoup resends by itself only methods that it takes for
+ * idempotent, which POST is not.
  */
 struct bounded_request *
 bounded_request_start(SoupSession *session,
 		      const struct bounded_request_spec *spec,
 		      bounded_request_done done, void *data)
 {
-	struct bounded_request *call = g_new0(struct bounded_request, 1);
-
-	call->message = bounded_request_create_message(spec);
-	call->cancellable = g_cancellable_new();
-	call->body = g_byte_array_new();
-	call->max_answer_bytes = spec->max_answer_bytes;
-	call->step = spec->step;
-	call->peer = g_strdup(spec->peer);
-	call->done = done;
-	call->data = data;
-	if (!call->message || (spec->body && g_bytes_get_size(spec->body) >
-						     spec->max_request_bytes)) {
-		bounded_request_attach(call, g_idle_source_new(), on_refused);
-		return call;
+	struct bounded_request *request = g_new0(struct bounded_request, 1);
+
+	request->message = bounded_request_create_message(spec);
+	request->cancellable = g_cancellable_new();
+	request->body = g_byte_array_new();
+	request->max_answer_bytes = spec->max_answer_bytes;
+	request->step = spec->step;
+	request->peer = g_strdup(spec->peer);
+	request->done = done;
+	request->data = data;
+	if (!request->message ||
+	    (spec->body &&
+	     g_bytes_get_size(spec->body) > spec->max_request_bytes)) {
+		bounded_request_add_source(request, g_idle_source_new(),
+					   on_invalid_request);
+		return request;
 	}
-	g_signal_connect(call->message, "starting", G_CALLBACK(on_starting),
-			 call);
-	bounded_request_attach(
-		call,
+	g_signal_connect(request->message, "starting", G_CALLBACK(on_starting),
+			 request);
+	bounded_request_add_source(
+		request,
 		g_timeout_source_new((guint)MAX(spec->timeout_us / 1000, 1)),
 		on_timeout);
-	soup_session_send_async(session, call->message, G_PRIORITY_DEFAULT,
-				call->cancellable, on_headers, call);
-	return call;
+	soup_session_send_async(session, request->message, G_PRIORITY_DEFAULT,
+				request->cancellable, on_headers, request);
+	return request;
 }
 
-/* Lets go of a call; done is not called any more. NULL is allowed. */
-void bounded_request_cancel(struct bounded_request *call)
+/* Cancels a request; done is no longer called. NULL is allowed. */
+void bounded_request_cancel(struct bounded_request *request)
 {
-	if (!call)
+	if (!request)
 		return;
-	call->cancelled = true;
-	g_cancellable_cancel(call->cancellable);
+	request->cancelled = true;
+	g_cancellable_cancel(request->cancellable);
 }
--- a/adapters/bounded_request.h
+++ b/adapters/bounded_request.h
@@ -12,24 +12,25 @@
 G_BEGIN_DECLS
 
 /*
- * One HTTP request with a bounded answer and a time-out, on the loop. Says
- * whether a byte may have left, which decides what a failure may be called.
+ * One asynchronous HTTP request with a limit on the size of its answer and a
+ * timeout. Its result states whether any byte may have been sent: only a
+ * request that was not sent is known not to have taken effect.
  */
 struct bounded_request_spec {
 	const char *method;
 	const char *url;
-	GBytes *body; /* JSON; NULL: none */
+	GBytes *body; /* JSON, or NULL for no body */
 	bool fresh_connection;
 	size_t max_request_bytes;
 	size_t max_answer_bytes;
 	int64_t timeout_us;
-	const char *step; /* static string, for errors */
+	const char *step; /* static string that names the step in errors */
 	const char *peer;
 };
 
 struct bounded_result {
 	bool sent;	/* the server may have seen the request */
-	int32_t status; /* 0: no whole answer came, see error */
+	int32_t status; /* 0: no complete answer, see error */
 	GBytes *body;	/* NULL when status is 0 */
 	struct error error;
 };
--- a/adapters/endpoint_attempt.c
+++ b/adapters/endpoint_attempt.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#define EVENT_BYTES_MAX 262144 /* one event of an engine */
+#define EVENT_BYTES_MAX 262144 /* largest event accepted from an engine */
 #define STATUS_TOO_MANY_REQUESTS 429
 
 static void attempt_free_members(gpointer data)
@@ -20,7 +20,10 @@
 	g_free(attempt->finish_reason);
 }
 
-/* Held while open and by each callback: the core may end it inside one. */
+/*
+ * An open attempt holds one reference and each running callback another, as
+ * the core may end the attempt from inside a callback.
+ */
 static void attempt_ref(struct endpoint_attempt *attempt)
 {
 	g_rc_box_acquire(attempt);
@@ -31,21 +34,21 @@
 	g_rc_box_release_full(attempt, attempt_free_members);
 }
 
-/* Closes the connection; nothing more is delivered. NULL is allowed. */
+/* Closes the connection; no more events are delivered. NULL is allowed. */
 void endpoint_attempt_destroy(struct endpoint_attempt *attempt)
 {
 	if (!attempt || attempt->closed)
 		return;
 	attempt->closed = true;
 	http_exchange_cancel(attempt->exchange);
-	if (attempt->late_source)
-		g_source_remove(attempt->late_source);
+	if (attempt->pending_source)
+		g_source_remove(attempt->pending_source);
 	attempt_unref(attempt);
 }
 
-static void attempt_take_event(struct endpoint_attempt *attempt,
-			       const struct sse_event *sse,
-			       const struct engine_event *engine)
+static void attempt_apply_event(struct endpoint_attempt *attempt,
+				const struct sse_event *sse,
+				const struct engine_event *engine)
 {
 	if (engine->total_tokens >= 0)
 		attempt->total_tokens = engine->total_tokens;
@@ -56,7 +59,7 @@
 	if (engine->token_count == 0 && !engine->has_text)
 		return;
 	attempt->next_token = engine->first_token + engine->token_count;
-	endpoint_attempt_tell_chunk(attempt, sse, engine);
+	endpoint_attempt_deliver_chunk(attempt, sse, engine);
 }
 
 static bool attempt_on_event(void *data, const struct sse_event *sse)
@@ -69,12 +72,12 @@
 			       &engine, &error))
 		endpoint_attempt_fail(attempt, ATTEMPT_SENT, &error);
 	else if (engine.done)
-		endpoint_attempt_tell_done(attempt);
-	else if (engine.crossed)
+		endpoint_attempt_deliver_done(attempt);
+	else if (engine.other_generation)
 		counters_add(attempt->owner->counters, COUNTER_CHUNKS_DROPPED,
 			     1);
 	else
-		attempt_take_event(attempt, sse, &engine);
+		attempt_apply_event(attempt, sse, &engine);
 	return !attempt->closed;
 }
 
@@ -87,13 +90,13 @@
 		endpoint_attempt_fail(attempt, ATTEMPT_SENT, &error);
 }
 
-static void attempt_feed_whole(struct endpoint_attempt *attempt,
-			       const char *bytes, size_t length)
+static void attempt_feed_body(struct endpoint_attempt *attempt,
+			      const char *bytes, size_t length)
 {
 	if ((int64_t)(attempt->body->len + length) >
 	    attempt->owner->max_answer_bytes)
 		endpoint_attempt_fail_sent(attempt, ERROR_TOO_LARGE,
-					   "the answer is over the limit");
+					   "the answer exceeds the size limit");
 	else
 		g_byte_array_append(attempt->body, (const guint8 *)bytes,
 				    (guint)length);
@@ -104,15 +107,18 @@
 	struct endpoint_attempt *attempt = data;
 
 	attempt_ref(attempt);
-	if (attempt->whole)
-		attempt_feed_whole(attempt, bytes, length);
+	if (attempt->buffered)
+		attempt_feed_body(attempt, bytes, length);
 	else
 		attempt_feed_stream(attempt, bytes, length);
 	attempt_unref(attempt);
 }
 
-/* The caller has gone before the engine named the generation. */
-static void attempt_cancel_late(struct endpoint_attempt *attempt)
+/*
+ * Ends an attempt that was cancelled before the engine named the generation:
+ * cancels the generation if it is named now.
+ */
+static void attempt_finish_cancel(struct endpoint_attempt *attempt)
 {
 	const struct endpoint_attempt_owner *owner = attempt->owner;
 
@@ -126,12 +132,12 @@
 {
 	bool busy = attempt->status == STATUS_TOO_MANY_REQUESTS ||
 		    attempt->status == SOUP_STATUS_SERVICE_UNAVAILABLE;
-	bool gone = attempt->status == SOUP_STATUS_NOT_FOUND ||
-		    attempt->status == SOUP_STATUS_GONE;
+	bool not_found = attempt->status == SOUP_STATUS_NOT_FOUND ||
+			 attempt->status == SOUP_STATUS_GONE;
 	enum attempt_stage stage = ATTEMPT_SENT;
 	struct error error;
 
-	if (attempt->resume && gone)
+	if (attempt->resume && not_found)
 		stage = ATTEMPT_GONE;
 	else if (!attempt->resume && busy)
 		stage = ATTEMPT_REFUSED;
@@ -140,8 +146,11 @@
 	endpoint_attempt_fail(attempt, stage, &error);
 }
 
-/* A request that the engine finds malformed is the caller's to mend. */
-static bool status_is_callers(int32_t status)
+/*
+ * Whether the request itself is at fault. The caller then gets the engine's
+ * answer, as only the caller can correct the request.
+ */
+static bool status_is_request_error(int32_t status)
 {
 	return status >= 400 && status < 500 &&
 	       status != STATUS_TOO_MANY_REQUESTS;
@@ -159,8 +168,9 @@
 	}
 	if (known && generation &&
 	    !g_str_equal(generation, attempt->generation)) {
-		endpoint_attempt_fail_sent(attempt, ERROR_INVALID,
-					   "another generation was resumed");
+		endpoint_attempt_fail_sent(
+			attempt, ERROR_INVALID,
+			"X-Generation differs from the resumed one");
 		return;
 	}
 	if (!known && generation) {
@@ -168,25 +178,25 @@
 		attempt->generation = g_strdup(generation);
 	}
 	if (attempt->cancelled)
-		attempt_cancel_late(attempt);
+		attempt_finish_cancel(attempt);
 	else
-		endpoint_attempt_tell_started(attempt);
+		endpoint_attempt_deliver_started(attempt);
 }
 
 static void attempt_read_stream_headers(struct endpoint_attempt *attempt,
 					SoupMessageHeaders *headers)
 {
 	if (attempt->status != SOUP_STATUS_OK) {
-		attempt->whole = !attempt->resume && !attempt->cancelled &&
-				 status_is_callers(attempt->status);
-		if (!attempt->whole)
+		attempt->buffered = !attempt->resume && !attempt->cancelled &&
+				    status_is_request_error(attempt->status);
+		if (!attempt->buffered)
 			attempt_fail_status(attempt);
 		return;
 	}
 	if (g_strcmp0(attempt->content_type, "text/event-stream") != 0) {
 		endpoint_attempt_fail_sent(
 			attempt, ERROR_INVALID,
-			"the engine did not answer by a stream");
+			"the engine's answer is not an event stream");
 		return;
 	}
 	attempt_start_stream(
@@ -194,17 +204,18 @@
 }
 
 /*
- * libsoup does not tell a chunked answer that was cut between two chunks from
- * a whole one, so only a length counts. Another node's stream has none: it is
- * whole if it ends by [DONE], or by the error that stands in its place.
+ * libsoup cannot distinguish a chunked answer that was cut between two chunks
+ * from a complete one, so an answer needs a Content-Length. The stream of
+ * another node has none: it is complete if its last event is [DONE] or the
+ * error event sent instead.
  */
-static bool attempt_answer_is_whole(const struct endpoint_attempt *attempt)
+static bool attempt_answer_is_complete(const struct endpoint_attempt *attempt)
 {
 	if (!attempt->chunked)
 		return true;
 	return attempt->to_node && attempt->content_type &&
 	       g_str_equal(attempt->content_type, "text/event-stream") &&
-	       engine_stream_is_whole(attempt->body);
+	       engine_stream_is_complete(attempt->body);
 }
 
 static void attempt_on_headers(void *data, SoupMessage *message)
@@ -220,7 +231,7 @@
 		soup_message_headers_get_one(headers, "Idempotent-Replayed");
 	attempt->chunked = soup_message_headers_get_encoding(headers) ==
 			   SOUP_ENCODING_CHUNKED;
-	if (attempt->whole) {
+	if (attempt->buffered) {
 		attempt->content_type = g_strdup(
 			soup_message_headers_get_one(headers, "Content-Type"));
 	} else {
@@ -240,25 +251,25 @@
 	if (error)
 		endpoint_attempt_fail(
 			attempt, sent ? ATTEMPT_SENT : ATTEMPT_NOT_SENT, error);
-	else if (attempt->whole && attempt_answer_is_whole(attempt))
-		endpoint_attempt_tell_answer(attempt);
-	else if (attempt->whole)
+	else if (attempt->buffered && attempt_answer_is_complete(attempt))
+		endpoint_attempt_deliver_answer(attempt);
+	else if (attempt->buffered)
 		endpoint_attempt_fail_sent(attempt, ERROR_INVALID,
 					   "the answer has no Content-Length");
 	else
 		endpoint_attempt_fail_sent(attempt, ERROR_CLOSED,
-					   "the stream ended before its end");
+					   "the stream ended without [DONE]");
 	attempt_unref(attempt);
 }
 
-static gboolean attempt_no_uri(gpointer data)
+static gboolean attempt_on_invalid_uri(gpointer data)
 {
 	struct endpoint_attempt *attempt = data;
 	struct error error;
 
-	attempt->late_source = 0;
+	attempt->pending_source = 0;
 	error_set(&error, ERROR_INVALID, "endpoint.send", attempt->endpoint,
-		  "address and path make no URI");
+		  "address and path form no valid URI");
 	attempt_ref(attempt);
 	endpoint_attempt_fail(attempt, ATTEMPT_NOT_SENT, &error);
 	attempt_unref(attempt);
@@ -301,15 +312,20 @@
 	};
 
 	if (!message) {
-		attempt->late_source = g_idle_add_full(
-			G_PRIORITY_DEFAULT, attempt_no_uri, attempt, NULL);
+		attempt->pending_source =
+			g_idle_add_full(G_PRIORITY_DEFAULT,
+					attempt_on_invalid_uri, attempt, NULL);
 		return;
 	}
 	attempt->exchange = http_exchange_start(&options);
 	g_object_unref(message);
 }
 
-/* Sends a request; the owner outlives the attempt. */
+/*
+ * Sends a request to an endpoint or another node. The owner must outlive the
+ * attempt and destroys it. An address that is no valid URI fails with
+ * ATTEMPT_NOT_SENT, never from inside this function.
+ */
 struct endpoint_attempt *
 endpoint_attempt_send(const struct endpoint_attempt_owner *owner,
 		      const struct action_attempt_send *send)
@@ -318,13 +334,17 @@
 		attempt_create(owner, send->attempt, send->endpoint);
 
 	attempt->to_node = send->to_node;
-	attempt->whole = send->to_node || send->request->kind == REQUEST_PLAIN;
+	attempt->buffered =
+		send->to_node || send->request->kind == REQUEST_PLAIN;
 	attempt_start(attempt, endpoint_request_send(send, owner->node_name),
 		      send->timeout_us);
 	return attempt;
 }
 
-/* Attaches to a generation after next_token. */
+/*
+ * Requests the stream of a running generation from offset next_token on. The
+ * owner must outlive the attempt and destroys it.
+ */
 struct endpoint_attempt *
 endpoint_attempt_resume(const struct endpoint_attempt_owner *owner,
 			const struct action_attempt_resume *resume)
@@ -344,16 +364,18 @@
 {
 	struct endpoint_attempt *attempt = data;
 
-	attempt->late_source = 0;
+	attempt->pending_source = 0;
 	attempt->owner->ended(attempt->owner->data, attempt->number);
 	return G_SOURCE_REMOVE;
 }
 
 /*
- * Delivers nothing more. True where the attempt may be destroyed now. False
- * while the engine has the request and has not named the generation: closing
- * then would leave it generating for nobody until its hold ends, so the
- * attempt waits a bounded time for the name, cancels and ends.
+ * Cancels an attempt and, unless keep_running is set, its generation if any.
+ * Returns true if the caller may destroy the attempt now, false while the
+ * engine has the request but has not named the generation. Closing the
+ * connection then would leave the engine generating unread tokens until its
+ * resume hold ends. The attempt therefore delivers no more events, waits up to
+ * cancel_timeout_ms for the name, cancels the generation and ends.
  */
 bool endpoint_attempt_cancel(struct endpoint_attempt *attempt,
 			     bool keep_running)
@@ -362,7 +384,7 @@
 
 	if (attempt->cancelled)
 		return false;
-	if (keep_running || attempt->whole)
+	if (keep_running || attempt->buffered)
 		return true;
 	if (*attempt->generation) {
 		owner->cancel_generation(owner->data, attempt->endpoint,
@@ -373,12 +395,13 @@
 	    !http_exchange_may_have_left(attempt->exchange) || attempt->status)
 		return true;
 	attempt->cancelled = true;
-	attempt->late_source = g_timeout_add((guint)owner->cancel_timeout_ms,
-					     attempt_cancel_timeout, attempt);
+	attempt->pending_source =
+		g_timeout_add((guint)owner->cancel_timeout_ms,
+			      attempt_cancel_timeout, attempt);
 	return false;
 }
 
-/* Stops or goes on reading. */
+/* Pauses or resumes reading from the connection. */
 void endpoint_attempt_pause(struct endpoint_attempt *attempt, bool pause)
 {
 	if (attempt->exchange)
--- a/adapters/endpoint_attempt.h
+++ b/adapters/endpoint_attempt.h
@@ -14,8 +14,9 @@
 G_BEGIN_DECLS
 
 /*
- * One request to an endpoint, from its sending to its last event. Delivers
- * EVENT_ATTEMPT_* until it ends, and asks its owner to destroy it then.
+ * One request to an endpoint, from its sending to its last event. An attempt
+ * delivers EVENT_ATTEMPT_* events until it ends, and then calls ended, in which
+ * its owner destroys it.
  */
 struct endpoint_attempt;
 
@@ -26,7 +27,7 @@
 	const char *node_name;
 	int64_t max_answer_bytes;
 	int64_t connect_timeout_ms;
-	int64_t cancel_timeout_ms; /* for learning what to cancel */
+	int64_t cancel_timeout_ms; /* wait for a generation to be named */
 	void (*ended)(void *data, uint64_t attempt);
 	void (*cancel_generation)(void *data, const char *endpoint,
 				  const char *generation);
--- a/adapters/endpoint_attempt_tell.c
+++ b/adapters/endpoint_attempt_tell.c
@@ -1,8 +1,8 @@
 #include "adapters/endpoint_attempt_state.h"
 
 /*
- * What an attempt tells the core. It ends with its last event, after which the
- * owner destroys it.
+ * The events that an attempt delivers to the core. The attempt ends with its
+ * last event, after which the owner destroys it.
  */
 
 static void attempt_deliver(struct endpoint_attempt *attempt,
@@ -14,7 +14,7 @@
 		sink->deliver(sink->data, event);
 }
 
-/* The last event; the owner destroys the attempt. */
+/* Delivers the last event and has the owner destroy the attempt. */
 static void attempt_end(struct endpoint_attempt *attempt,
 			const struct event *event)
 {
@@ -25,7 +25,7 @@
 		attempt->owner->ended(attempt->owner->data, attempt->number);
 }
 
-/* Ends an attempt that failed. */
+/* Ends the attempt with EVENT_ATTEMPT_FAILED at the given stage. */
 void endpoint_attempt_fail(struct endpoint_attempt *attempt,
 			   enum attempt_stage stage, const struct error *error)
 {
@@ -37,7 +37,10 @@
 	attempt_end(attempt, &event);
 }
 
-/* The same after the request was sent: it may have run. */
+/*
+ * Ends the attempt with EVENT_ATTEMPT_FAILED after the request was sent, so
+ * that the endpoint may have run it.
+ */
 void endpoint_attempt_fail_sent(struct endpoint_attempt *attempt,
 				enum error_code code, const char *text)
 {
@@ -47,8 +50,11 @@
 	endpoint_attempt_fail(attempt, ATTEMPT_SENT, &error);
 }
 
-/* The engine has the request, or goes on with its generation. */
-void endpoint_attempt_tell_started(struct endpoint_attempt *attempt)
+/*
+ * Delivers EVENT_ATTEMPT_STARTED: the engine has accepted the request or
+ * resumed its generation.
+ */
+void endpoint_attempt_deliver_started(struct endpoint_attempt *attempt)
 {
 	struct event event = {.type = EVENT_ATTEMPT_STARTED};
 
@@ -57,10 +63,10 @@
 	attempt_deliver(attempt, &event);
 }
 
-/* Passes tokens on as they came. */
-void endpoint_attempt_tell_chunk(struct endpoint_attempt *attempt,
-				 const struct sse_event *sse,
-				 const struct engine_event *engine)
+/* Delivers EVENT_ATTEMPT_CHUNK with the event's data unchanged. */
+void endpoint_attempt_deliver_chunk(struct endpoint_attempt *attempt,
+				    const struct sse_event *sse,
+				    const struct engine_event *engine)
 {
 	struct event event = {.type = EVENT_ATTEMPT_CHUNK};
 
@@ -72,8 +78,8 @@
 	g_bytes_unref(event.chunk.data);
 }
 
-/* Ends a stream that came whole. */
-void endpoint_attempt_tell_done(struct endpoint_attempt *attempt)
+/* Ends the attempt with EVENT_ATTEMPT_DONE once its stream is complete. */
+void endpoint_attempt_deliver_done(struct endpoint_attempt *attempt)
 {
 	struct event event = {.type = EVENT_ATTEMPT_DONE};
 
@@ -84,8 +90,8 @@
 	attempt_end(attempt, &event);
 }
 
-/* Ends with a whole answer. */
-void endpoint_attempt_tell_answer(struct endpoint_attempt *attempt)
+/* Ends the attempt with EVENT_ATTEMPT_ANSWER, the complete answer. */
+void endpoint_attempt_deliver_answer(struct endpoint_attempt *attempt)
 {
 	struct event event = {.type = EVENT_ATTEMPT_ANSWER};
 
--- a/adapters/endpoint_client.c
+++ b/adapters/endpoint_client.c
@@ -18,18 +18,18 @@
 	int64_t load_timeout_ms;
 	struct log *log; /* NULL: none */
 	struct counters *counters;
-	GHashTable *attempts; /* uint64_t -> struct endpoint_attempt */
-	GHashTable *controls; /* struct control, as a set */
-	GHashTable *lying;    /* endpoints whose last report was refused */
+	GHashTable *attempts;	   /* uint64_t -> struct endpoint_attempt */
+	GHashTable *controls;	   /* struct control, as a set */
+	GHashTable *load_rejected; /* endpoints whose last report was invalid */
 };
 
-/* A load poll, or the cancelling of a generation. */
+/* A control request: a load poll or the cancellation of a generation. */
 struct control {
 	struct endpoint_client *client;
 	struct http_exchange *exchange;
 	char *endpoint;
 	bool is_poll;
-	bool ok; /* status 200 and within the limit */
+	bool ok; /* status 200 and body within LOAD_BYTES_MAX */
 	GByteArray *body;
 };
 
@@ -61,12 +61,15 @@
 				    (guint)length);
 }
 
-/* Polled many times a minute, an endpoint gets one line, not one each time. */
+/*
+ * Endpoints are polled many times a minute, so a series of rejected reports of
+ * one endpoint is logged once, not on each poll.
+ */
 static void client_reject_load(struct endpoint_client *client,
 			       const char *endpoint, const struct error *error)
 {
 	counters_add(client->counters, COUNTER_LOAD_REJECTED, 1);
-	if (!g_hash_table_add(client->lying, g_strdup(endpoint)) ||
+	if (!g_hash_table_add(client->load_rejected, g_strdup(endpoint)) ||
 	    !client->log)
 		return;
 	log_write(client->log, LOG_LEVEL_WARN, "load_rejected", "endpoint",
@@ -84,17 +87,17 @@
 		client_reject_load(client, control->endpoint, &error);
 		return false;
 	}
-	g_hash_table_remove(client->lying, control->endpoint);
+	g_hash_table_remove(client->load_rejected, control->endpoint);
 	return true;
 }
 
-static void control_tell_load(struct control *control, bool whole)
+static void control_deliver_load(struct control *control, bool complete)
 {
 	struct endpoint_client *client = control->client;
 	struct event event = {.type = EVENT_LOAD};
 
 	event.load.endpoint = control->endpoint;
-	if (whole && control->ok)
+	if (complete && control->ok)
 		event.load.reached =
 			control_read_load(control, &event.load.report);
 	client->sink.deliver(client->sink.data, &event);
@@ -106,7 +109,7 @@
 
 	g_hash_table_steal(control->client->controls, control);
 	if (control->is_poll)
-		control_tell_load(control, !error);
+		control_deliver_load(control, !error);
 	control_free(control);
 }
 
@@ -140,7 +143,7 @@
 				     const char *generation)
 {
 	struct endpoint_client *client = data;
-	SoupMessage *message = endpoint_request_delete(endpoint, generation);
+	SoupMessage *message = endpoint_request_cancel(endpoint, generation);
 
 	if (message)
 		client_start_control(client, message, endpoint, false);
@@ -153,7 +156,10 @@
 	g_hash_table_remove(client->attempts, &attempt);
 }
 
-/* A client that delivers to the sink until it is destroyed. */
+/*
+ * Creates a client, which delivers its events to the sink until it is
+ * destroyed. The caller owns the client; log and counters must outlive it.
+ */
 struct endpoint_client *
 endpoint_client_create(const struct endpoint_client_options *options,
 		       const struct event_sink *sink)
@@ -173,7 +179,7 @@
 				      (GDestroyNotify)endpoint_attempt_destroy);
 	client->controls =
 		g_hash_table_new_full(NULL, NULL, control_free, NULL);
-	client->lying =
+	client->load_rejected =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	owner->sessions = http_sessions_create();
 	owner->sink = &client->sink;
@@ -188,14 +194,14 @@
 	return client;
 }
 
-/* Closes all connections and delivers nothing more. NULL is allowed. */
+/* Closes all connections; no more events are delivered. NULL is allowed. */
 void endpoint_client_destroy(struct endpoint_client *client)
 {
 	if (!client)
 		return;
 	g_hash_table_unref(client->attempts);
 	g_hash_table_unref(client->controls);
-	g_hash_table_unref(client->lying);
+	g_hash_table_unref(client->load_rejected);
 	http_sessions_destroy(client->owner.sessions);
 	g_object_unref(client->control_session);
 	g_free(client->node_name);
@@ -231,7 +237,7 @@
 		   endpoint_attempt_resume(&client->owner, &action->resume));
 }
 
-/* An attempt that has ended here crosses with its cancelling: no matter. */
+/* An attempt that ended just before its cancellation is no longer found. */
 static void client_apply_cancel(struct endpoint_client *client,
 				const struct action *action)
 {
@@ -274,7 +280,7 @@
 	[ACTION_POLL_LOAD] = client_apply_poll,
 };
 
-/* Carries one ACTION_ATTEMPT_* or ACTION_POLL_LOAD out; leaves others. */
+/* Executes an ACTION_ATTEMPT_* or ACTION_POLL_LOAD; ignores other actions. */
 void endpoint_client_apply(struct endpoint_client *client,
 			   const struct action *action)
 {
--- a/adapters/endpoint_client.h
+++ b/adapters/endpoint_client.h
@@ -13,12 +13,12 @@
 G_BEGIN_DECLS
 
 /*
- * Requests to engines, plain endpoints and other nodes, by libsoup. Carries
- * ACTION_ATTEMPT_* and ACTION_POLL_LOAD out and delivers EVENT_ATTEMPT_* and
- * EVENT_LOAD.
+ * HTTP client for engines, plain endpoints and other nodes, based on libsoup.
+ * It executes ACTION_ATTEMPT_* and ACTION_POLL_LOAD and delivers
+ * EVENT_ATTEMPT_* and EVENT_LOAD.
  */
 struct endpoint_client_options {
-	const char *node_name; /* who forwards, told to other nodes */
+	const char *node_name; /* sent to other nodes with forwarded requests */
 	int64_t max_answer_bytes;
 	int64_t connect_timeout_ms;
 	int64_t load_timeout_ms;
--- a/adapters/endpoint_request.c
+++ b/adapters/endpoint_request.c
@@ -16,42 +16,42 @@
 	return message;
 }
 
-static void message_set(SoupMessage *message, const char *name,
-			const char *value)
+static void message_set_header(SoupMessage *message, const char *name,
+			       const char *value)
 {
 	if (value)
 		soup_message_headers_replace(
 			soup_message_get_request_headers(message), name, value);
 }
 
-static void message_set_number(SoupMessage *message, const char *name,
-			       int64_t value)
+static void message_set_header_number(SoupMessage *message, const char *name,
+				      int64_t value)
 {
 	char *text = g_strdup_printf("%" G_GINT64_FORMAT, value);
 
-	message_set(message, name, text);
+	message_set_header(message, name, text);
 	g_free(text);
 }
 
-static void message_set_attempt(SoupMessage *message, uint64_t attempt)
+static void message_set_request_id(SoupMessage *message, uint64_t attempt)
 {
 	char *text = g_strdup_printf("%" G_GUINT64_FORMAT, attempt);
 
-	message_set(message, "X-Request-Id", text);
+	message_set_header(message, "X-Request-Id", text);
 	g_free(text);
 }
 
 /*
- * libsoup sends a request again by itself when a reused connection turns out
- * to be dead, for methods that it takes for idempotent: a marked GET or PUT
- * would run twice and only one answer be seen. It never does so on a
- * connection that carried nothing before, so each attempt has its own. That
- * also keeps "not sent" true more often: a dead endpoint refuses to connect.
+ * When a reused connection turns out to be dead, libsoup resends requests with
+ * methods that it takes for idempotent: a GET or PUT marked non-idempotent
+ * would run twice, with only one answer seen. libsoup never resends on a new
+ * connection, so each attempt uses its own. A dead endpoint then also refuses
+ * the connection, so that more failures are known to be "not sent".
  */
 static void message_use_own_connection(SoupMessage *message)
 {
 	soup_message_add_flags(message, SOUP_MESSAGE_NEW_CONNECTION);
-	message_set(message, "Connection", "close");
+	message_set_header(message, "Connection", "close");
 }
 
 static char *send_path(const struct action_attempt_send *send)
@@ -67,10 +67,10 @@
 static void send_set_engine(SoupMessage *message,
 			    const struct action_attempt_send *send)
 {
-	message_set(message, "Accept", "text/event-stream");
-	message_set(message, "X-Resume-Hold-Ms", RESUME_HOLD_MS);
-	message_set_number(message, "X-Priority",
-			   CLAMP(send->priority, 0, PRIORITY_MAX));
+	message_set_header(message, "Accept", "text/event-stream");
+	message_set_header(message, "X-Resume-Hold-Ms", RESUME_HOLD_MS);
+	message_set_header_number(message, "X-Priority",
+				  CLAMP(send->priority, 0, PRIORITY_MAX));
 }
 
 static void send_set_node(SoupMessage *message, const struct request *request,
@@ -79,23 +79,26 @@
 	if (request->bearer) {
 		char *value = g_strconcat("Bearer ", request->bearer, NULL);
 
-		message_set(message, "Authorization", value);
+		message_set_header(message, "Authorization", value);
 		g_free(value);
 	}
-	message_set(message, "X-Organisation", request->organisation);
-	message_set(message, "Idempotency-Key", request->idempotency_key);
-	message_set(message, "Last-Event-ID", request->last_event_id);
-	message_set(message, "X-Siskinlink-Forwarded", node_name);
+	message_set_header(message, "X-Organisation", request->organisation);
+	message_set_header(message, "Idempotency-Key",
+			   request->idempotency_key);
+	message_set_header(message, "Last-Event-ID", request->last_event_id);
+	message_set_header(message, "X-Siskinlink-Forwarded", node_name);
 	if (request->non_idempotent)
-		message_set(message, "X-Non-Idempotent", "true");
+		message_set_header(message, "X-Non-Idempotent", "true");
 	if (request->deadline_in_us > 0)
-		message_set_number(message, "X-Deadline-Ms",
-				   MAX(1, request->deadline_in_us / US_PER_MS));
+		message_set_header_number(
+			message, "X-Deadline-Ms",
+			MAX(1, request->deadline_in_us / US_PER_MS));
 	if (request->priority >= 0)
-		message_set_number(message, "X-Priority", request->priority);
+		message_set_header_number(message, "X-Priority",
+					  request->priority);
 }
 
-/* A caller's request, as the engine, endpoint or node is to get it. */
+/* Creates the message for a caller's request to an endpoint or a node. */
 SoupMessage *endpoint_request_send(const struct action_attempt_send *send,
 				   const char *node_name)
 {
@@ -108,7 +111,7 @@
 	if (!message)
 		return NULL;
 	message_use_own_connection(message);
-	message_set_attempt(message, send->attempt);
+	message_set_request_id(message, send->attempt);
 	if (g_bytes_get_size(request->body) > 0)
 		soup_message_set_request_body_from_bytes(
 			message, request->content_type, request->body);
@@ -119,8 +122,9 @@
 	return message;
 }
 
-static SoupMessage *generation_message(const char *method, const char *endpoint,
-				       const char *generation)
+static SoupMessage *generation_message_create(const char *method,
+					      const char *endpoint,
+					      const char *generation)
 {
 	char *escaped = g_uri_escape_string(generation, NULL, FALSE);
 	char *path = g_strconcat("/v1/generations/", escaped, NULL);
@@ -131,11 +135,11 @@
 	return message;
 }
 
-/* Asks an engine for the rest of a generation. */
+/* Creates the request for the rest of a generation's stream. */
 SoupMessage *endpoint_request_resume(const struct action_attempt_resume *resume)
 {
-	SoupMessage *message =
-		generation_message("GET", resume->endpoint, resume->generation);
+	SoupMessage *message = generation_message_create(
+		"GET", resume->endpoint, resume->generation);
 	char *id;
 
 	if (!message)
@@ -143,22 +147,22 @@
 	id = g_strdup_printf("%s:%" G_GINT64_FORMAT, resume->generation,
 			     resume->next_token);
 	message_use_own_connection(message);
-	message_set_attempt(message, resume->attempt);
-	message_set(message, "Accept", "text/event-stream");
-	message_set(message, "X-Resume-Hold-Ms", RESUME_HOLD_MS);
-	message_set(message, "Last-Event-ID", id);
+	message_set_request_id(message, resume->attempt);
+	message_set_header(message, "Accept", "text/event-stream");
+	message_set_header(message, "X-Resume-Hold-Ms", RESUME_HOLD_MS);
+	message_set_header(message, "Last-Event-ID", id);
 	g_free(id);
 	return message;
 }
 
-/* Cancels a generation on its engine. */
-SoupMessage *endpoint_request_delete(const char *endpoint,
+/* Creates the request that cancels a generation on its engine. */
+SoupMessage *endpoint_request_cancel(const char *endpoint,
 				     const char *generation)
 {
-	return generation_message("DELETE", endpoint, generation);
+	return generation_message_create("DELETE", endpoint, generation);
 }
 
-/* Asks for an endpoint's load. */
+/* Creates the request for an endpoint's load report. */
 SoupMessage *endpoint_request_load(const char *endpoint)
 {
 	return message_create("GET", endpoint, "/metrics");
--- a/adapters/endpoint_request.h
+++ b/adapters/endpoint_request.h
@@ -8,14 +8,15 @@
 G_BEGIN_DECLS
 
 /*
- * The HTTP messages sent to engines, plain endpoints and other nodes. Each is
- * NULL where address or path make no URI.
+ * Creates the HTTP messages sent to engines, plain endpoints and other nodes.
+ * Each function returns a message that the caller owns, or NULL if address and
+ * path form no valid URI.
  */
 SoupMessage *endpoint_request_send(const struct action_attempt_send *send,
 				   const char *node_name);
 SoupMessage *
 endpoint_request_resume(const struct action_attempt_resume *resume);
-SoupMessage *endpoint_request_delete(const char *endpoint,
+SoupMessage *endpoint_request_cancel(const char *endpoint,
 				     const char *generation);
 SoupMessage *endpoint_request_load(const char *endpoint);
 
--- a/adapters/engine_event.c
+++ b/adapters/engine_event.c
@@ -15,7 +15,10 @@
 	return false;
 }
 
-/* A handle is put into paths, headers and event ids: see event_id.h. */
+/*
+ * Whether a generation's handle is safe to use in paths, headers and event
+ * ids, see event_id.h.
+ */
 bool engine_generation_valid(const char *generation)
 {
 	return event_id_is_token(generation, GENERATION_BYTES_MAX);
@@ -77,11 +80,11 @@
 	if (!JSON_NODE_HOLDS_OBJECT(usage) ||
 	    !object_read_count(json_node_get_object(usage), "completion_tokens",
 			       TOTAL_TOKENS_MAX, &event->total_tokens))
-		return event_fail(error, "its usage is malformed");
+		return event_fail(error, "malformed usage");
 	return true;
 }
 
-/* An event without "tokens" carries one, unless it only tells the end. */
+/* An event without "tokens" has one token, unless it only marks the end. */
 static bool event_read_object(struct engine_event *event, JsonNode *node,
 			      struct error *error)
 {
@@ -91,7 +94,7 @@
 	bool has_text;
 
 	if (!JSON_NODE_HOLDS_OBJECT(node))
-		return event_fail(error, "its data is not a JSON object");
+		return event_fail(error, "data is not a JSON object");
 	root = json_node_get_object(node);
 	choice = array_read_object(json_object_get_member(root, "choices"));
 	has_text = choice && choice_has_text(choice);
@@ -105,7 +108,7 @@
 		event->token_count = 0;
 	if (!object_read_count(root, "tokens", EVENT_TOKENS_MAX,
 			       &event->token_count))
-		return event_fail(error, "its token count is malformed");
+		return event_fail(error, "malformed token count");
 	return event_read_usage(event, root, error);
 }
 
@@ -123,8 +126,8 @@
 }
 
 /*
- * The id is ID:END. One of another generation marks the event as crossed:
- * passed on, it would put two runs into one answer.
+ * Parses an id of the form ID:END. An event of another generation is marked:
+ * if it were forwarded, one answer would mix the output of two generations.
  */
 static bool event_read_id(struct engine_event *event, const char *id,
 			  const char *generation, struct error *error)
@@ -134,18 +137,21 @@
 
 	if (!colon || !g_ascii_string_to_signed(colon + 1, 10, 0,
 						TOTAL_TOKENS_MAX, &end, NULL))
-		return event_fail(error, "its id is malformed");
-	event->crossed = strncmp(id, generation, (size_t)(colon - id)) != 0 ||
-			 generation[colon - id] != '\0';
+		return event_fail(error, "malformed event id");
+	event->other_generation =
+		strncmp(id, generation, (size_t)(colon - id)) != 0 ||
+		generation[colon - id] != '\0';
 	event->first_token = end - event->token_count;
 	if (event->first_token < 0)
-		return event_fail(error, "it has more tokens than its id says");
+		return event_fail(error,
+				  "more tokens than the event id allows");
 	return true;
 }
 
 /*
- * Reads one event of the stream of this generation, where next_token is the
- * offset that an event without an id starts at. False with ERROR_INVALID.
+ * Parses one event of the stream of a generation. An event without an id
+ * starts at token offset next_token. Returns false with ERROR_INVALID if the
+ * event is malformed or is an error event.
  */
 bool engine_event_read(const struct sse_event *sse, const char *generation,
 		       int64_t next_token, struct engine_event *event,
@@ -155,7 +161,7 @@
 	event->total_tokens = -1;
 	event->first_token = next_token;
 	if (g_str_equal(sse->type, "error"))
-		return event_fail(error, "the engine ended by an error");
+		return event_fail(error, "the engine sent an error event");
 	if (g_str_equal(sse->data, "[DONE]")) {
 		event->done = true;
 		return true;
@@ -167,8 +173,8 @@
 	return event_read_id(event, sse->id, generation, error);
 }
 
-/* Where the last event of a text that ends by an empty line starts. */
-static const char *last_event(const GByteArray *text)
+/* Start of the last event; NULL if the text does not end in an empty line. */
+static const char *find_last_event(const GByteArray *text)
 {
 	const char *start = (const char *)text->data;
 	size_t at = text->len;
@@ -192,12 +198,12 @@
 }
 
 /*
- * Whether the text of a stream has come to its end: its last event is [DONE],
- * or the error that stands in its place.
+ * Whether the text of a stream is complete: its last event is [DONE] or the
+ * error event sent instead.
  */
-bool engine_stream_is_whole(const GByteArray *text)
+bool engine_stream_is_complete(const GByteArray *text)
 {
-	const char *event = last_event(text);
+	const char *event = find_last_event(text);
 
 	return event && (event_starts_with(text, event, "data: [DONE]\n") ||
 			 event_starts_with(text, event, "event: error\n"));
--- a/adapters/load_text.c
+++ b/adapters/load_text.c
@@ -5,11 +5,11 @@
 #include <string.h>
 
 #define LINE_BYTES_MAX 1024
-#define VALUE_MAX 9007199254740992.0 /* integers above are not exact */
+#define VALUE_MAX 9007199254740992.0 /* larger integers are not exact */
 
 struct load_metric {
-	const char *name; /* without its prefix */
-	size_t offset;	  /* of the int64_t in the report */
+	const char *name; /* without the prefix */
+	size_t offset;	  /* of the int64_t field in struct load_report */
 };
 
 static const struct load_metric metrics[] = {
@@ -39,7 +39,7 @@
 	return false;
 }
 
-/* Splits "name{labels} value [time]"; false where it is something else. */
+/* Splits "name{labels} value [time]"; false if the line has another form. */
 static bool line_split(char *line, char **name, char **value)
 {
 	char *at = line + strcspn(line, "{ \t");
@@ -78,9 +78,9 @@
 	return false;
 }
 
-/* Metrics of other names are none of ours, whatever their value. */
-static bool report_take_line(struct load_report *report, char *line, int *taken,
-			     struct error *error)
+/* Metrics with unknown prefixes are skipped without reading their value. */
+static bool report_parse_line(struct load_report *report, char *line,
+			      int *found, struct error *error)
 {
 	const char *short_name;
 	char *name;
@@ -101,19 +101,20 @@
 	if (!isfinite(value) || value < 0 || value > VALUE_MAX)
 		return load_fail(error, "out of range", name);
 	if (report_set(report, short_name, (int64_t)value))
-		(*taken)++;
+		(*found)++;
 	return true;
 }
 
 /*
- * Reads a report; fields that are missing become -1. False with ERROR_INVALID
- * where a line is malformed, a value negative or absurd, or none is known.
+ * Parses a load report; missing fields are set to -1. Returns false with
+ * ERROR_INVALID if a line is malformed, a value is negative or implausible, or
+ * the report has no known metric.
  */
 bool load_text_parse(const char *text, size_t length,
 		     struct load_report *report, struct error *error)
 {
 	const char *end = text + length;
-	int taken = 0;
+	int found = 0;
 
 	memset(report, 0, sizeof(*report));
 	for (size_t i = 0; i < G_N_ELEMENTS(metrics); i++)
@@ -128,9 +129,9 @@
 		memcpy(line, text, line_length);
 		line[line_length] = '\0';
 		g_strchomp(line);
-		if (!report_take_line(report, line, &taken, error))
+		if (!report_parse_line(report, line, &found, error))
 			return false;
 		text += line_length + 1;
 	}
-	return taken > 0 || load_fail(error, "no load metric", "");
+	return found > 0 || load_fail(error, "no load metric", "");
 }
--- a/adapters/load_text.h
+++ b/adapters/load_text.h
@@ -10,7 +10,10 @@
 
 G_BEGIN_DECLS
 
-/* An endpoint's load in Prometheus text, names as in docs/PROTOCOLS.md. */
+/*
+ * Parser for an endpoint's load report in the Prometheus text format. The
+ * metrics' names are listed in docs/PROTOCOLS.md.
+ */
 bool load_text_parse(const char *text, size_t length,
 		     struct load_report *report, struct error *error);
 
--- a/adapters/sse_reader.c
+++ b/adapters/sse_reader.c
@@ -7,17 +7,20 @@
 	size_t event_bytes_max;
 	sse_event_function event;
 	void *user_data;
-	GString *line; /* of what came, without its end */
+	GString *line; /* the current line so far */
 	GString *id;
 	GString *type;
 	GString *data;
 	bool has_data;
-	bool after_cr; /* a line feed after this belongs to the same end */
+	bool after_cr; /* a line feed next belongs to the same line end */
 	bool stopped;
 	bool failed;
 };
 
-/* A reader that calls event for each whole event of at most that size. */
+/*
+ * Creates a reader that calls event for each complete event. An event of more
+ * than event_bytes_max bytes fails the stream. The caller owns the reader.
+ */
 struct sse_reader *sse_reader_create(size_t event_bytes_max,
 				     sse_event_function event, void *data)
 {
@@ -33,7 +36,7 @@
 	return reader;
 }
 
-/* Frees the reader; NULL is allowed. Not from inside its event function. */
+/* Frees a reader; NULL is allowed. Not allowed inside its event function. */
 void sse_reader_destroy(struct sse_reader *reader)
 {
 	if (!reader)
@@ -75,8 +78,8 @@
 	reader->has_data = true;
 }
 
-/* Fields with other names and comments are skipped, as the standard says. */
-static void reader_take_field(struct sse_reader *reader)
+/* As the standard requires, comments and unknown fields are ignored. */
+static void reader_parse_field(struct sse_reader *reader)
 {
 	const char *line = reader->line->str;
 	const char *colon = strchr(line, ':');
@@ -98,7 +101,7 @@
 	if (reader->line->len == 0)
 		reader_dispatch(reader);
 	else
-		reader_take_field(reader);
+		reader_parse_field(reader);
 	g_string_truncate(reader->line, 0);
 }
 
@@ -110,13 +113,13 @@
 	return false;
 }
 
-static size_t reader_held(const struct sse_reader *reader)
+static size_t reader_buffered_bytes(const struct sse_reader *reader)
 {
 	return reader->line->len + reader->id->len + reader->type->len +
 	       reader->data->len;
 }
 
-static size_t span_of_text(const char *bytes, size_t length)
+static size_t text_span(const char *bytes, size_t length)
 {
 	size_t i = 0;
 
@@ -125,8 +128,8 @@
 	return i;
 }
 
-/* Takes the end of a line; a carriage return and line feed are one end. */
-static void reader_take_end(struct sse_reader *reader, char c)
+/* A carriage return followed by a line feed is a single line end. */
+static void reader_handle_line_end(struct sse_reader *reader, char c)
 {
 	bool same_end = c == '\n' && reader->after_cr;
 
@@ -136,9 +139,9 @@
 }
 
 /*
- * Reads a piece and calls the event function for each event that is whole.
- * False with ERROR_TOO_LARGE or ERROR_INVALID (a NUL byte); nothing more is
- * read then.
+ * Parses the next piece of the stream and calls the event function for each
+ * event that it completes. Returns false with ERROR_TOO_LARGE for an event over
+ * the limit or ERROR_INVALID for a NUL byte; every later call then fails too.
  */
 bool sse_reader_feed(struct sse_reader *reader, const char *bytes,
 		     size_t length, struct error *error)
@@ -147,14 +150,15 @@
 
 	if (reader->failed)
 		return reader_fail(reader, error, ERROR_INVALID,
-				   "the stream failed before");
+				   "the stream has already failed");
 	while (at < length && !reader->stopped) {
-		size_t span = span_of_text(bytes + at, length - at);
+		size_t span = text_span(bytes + at, length - at);
 
 		if (span > reader->event_bytes_max ||
-		    reader_held(reader) + span > reader->event_bytes_max)
+		    reader_buffered_bytes(reader) + span >
+			    reader->event_bytes_max)
 			return reader_fail(reader, error, ERROR_TOO_LARGE,
-					   "an event is over the limit");
+					   "an event exceeds the size limit");
 		g_string_append_len(reader->line, bytes + at, (gssize)span);
 		if (span)
 			reader->after_cr = false;
@@ -163,8 +167,8 @@
 			break;
 		if (!bytes[at])
 			return reader_fail(reader, error, ERROR_INVALID,
-					   "a NUL byte in the stream");
-		reader_take_end(reader, bytes[at++]);
+					   "NUL byte in the stream");
+		reader_handle_line_end(reader, bytes[at++]);
 	}
 	return true;
 }
--- a/adapters/sse_reader.h
+++ b/adapters/sse_reader.h
@@ -10,17 +10,17 @@
 G_BEGIN_DECLS
 
 /*
- * Server-sent events as they arrive, in pieces cut anywhere. Pure; the text
- * held is bounded by event_bytes_max.
+ * Incremental parser for server-sent events, fed in pieces of any size. It
+ * does no I/O and buffers at most event_bytes_max bytes.
  */
 struct sse_event {
-	const char *id;	  /* "" where the event has none */
-	const char *type; /* "message" where the event has none */
+	const char *id;	  /* "" if the event has none */
+	const char *type; /* "message" if the event has none */
 	const char *data; /* lines joined by \n */
 	size_t data_length;
 };
 
-/* False stops the reader: it takes no more input. */
+/* Called for each event; returning false makes the reader ignore the rest. */
 typedef bool (*sse_event_function)(void *data, const struct sse_event *event);
 
 struct sse_reader;
--- a/tests/endpoint_client_test.cc
+++ b/tests/endpoint_client_test.cc
@@ -130,7 +130,7 @@
 			     text + "\"}],\"tokens\":1}\n\n");
 	}
 
-	static std::string whole(int status, const std::string &body)
+	static std::string full_answer(int status, const std::string &body)
 	{
 		return "HTTP/1.1 " + std::to_string(status) +
 		       " X\r\nContent-Type: text/plain\r\nContent-Length: " +
@@ -189,15 +189,18 @@
 	EXPECT_TRUE(peer->wait_closed());
 }
 
-/* Nobody listens: the caller may be told "not run" and another be asked. */
-TEST_F(EndpointClient, SaysNotSentWhereNothingListens)
+/*
+ * Connecting to a closed port fails as "not sent", so that the request may be
+ * sent to another endpoint.
+ */
+TEST_F(EndpointClient, NotSentIfConnectionIsRefused)
 {
 	listener.close();
 	send_generation(1);
 	expect_failed(ATTEMPT_NOT_SENT);
 }
 
-TEST_F(EndpointClient, SaysNotSentForAnAddressThatIsNone)
+TEST_F(EndpointClient, NotSentForInvalidAddress)
 {
 	endpoint = "not an address";
 	send_generation(1);
@@ -206,10 +209,10 @@
 }
 
 /*
- * The engine takes the request and closes without a word. It may have run it,
- * so this is never "not sent"; nor is the request sent again by itself.
+ * The engine reads the request and closes without an answer. It may have run
+ * the request, so this is never "not sent", and libsoup must not resend it.
  */
-TEST_F(EndpointClient, SaysSentOnceTheRequestMayHaveLeft)
+TEST_F(EndpointClient, SentOnceRequestMayHaveLeft)
 {
 	send(1, make(REQUEST_PLAIN, "PUT", "/x", "body"));
 	auto peer = accept("body");
@@ -218,32 +221,33 @@
 	EXPECT_EQ(nullptr, g_socket_accept(listener.socket, nullptr, nullptr));
 }
 
-TEST_F(EndpointClient, SaysRefusedForABusyEngineOnly)
+TEST_F(EndpointClient, RefusedForBusyEngineOnly)
 {
 	send_generation(1);
-	accept("}")->send(whole(503, "busy"));
+	accept("}")->send(full_answer(503, "busy"));
 	expect_failed(ATTEMPT_REFUSED);
 	recorder.events.clear();
 	send_generation(2);
-	accept("}")->send(whole(500, "oops"));
+	accept("}")->send(full_answer(500, "oops"));
 	expect_failed(ATTEMPT_SENT);
 }
 
-TEST_F(EndpointClient, PassesOnWhatTheEngineFindsMalformed)
+TEST_F(EndpointClient, ForwardsRequestErrorOfEngine)
 {
 	send_generation(1);
 	auto peer = accept("}");
-	peer->send(whole(422, "bad prompt"));
+	peer->send(full_answer(422, "bad prompt"));
 	ASSERT_TRUE(recorder.wait(EVENT_ATTEMPT_ANSWER));
 	EXPECT_EQ(422, recorder.events[0].status);
 	EXPECT_EQ("bad prompt", recorder.events[0].text);
 }
 
 /*
- * The engine dies in mid-stream: what came is delivered, then one failure. A
- * stream that ends without [DONE] is not whole, however tidily it closes.
+ * The engine crashes in mid-stream: the received events are delivered, then
+ * one failure. A stream that ends without [DONE] is incomplete, even if its
+ * chunked encoding ends properly.
  */
-TEST_F(EndpointClient, FailsAStreamThatIsCut)
+TEST_F(EndpointClient, FailsTruncatedStream)
 {
 	send_generation(1);
 	auto peer = accept("}");
@@ -254,22 +258,22 @@
 
 	recorder.events.clear();
 	send_generation(2);
-	auto tidy = accept("}");
-	tidy->send(stream_head("g2") + event("g2:1", "a") + "0\r\n\r\n");
+	auto ended = accept("}");
+	ended->send(stream_head("g2") + event("g2:1", "a") + "0\r\n\r\n");
 	expect_failed(ATTEMPT_SENT);
 	EXPECT_EQ(0u, recorder.count(EVENT_ATTEMPT_DONE));
 }
 
-struct garbage {
+struct malformed_answer {
 	const char *name;
 	std::string bytes;
 };
 
-TEST_F(EndpointClient, FailsOnGarbage)
+TEST_F(EndpointClient, FailsOnMalformedAnswer)
 {
-	const garbage cases[] = {
+	const malformed_answer cases[] = {
 		{"not HTTP", "hello\r\n\r\n"},
-		{"not a stream", whole(200, "{}")},
+		{"not a stream", full_answer(200, "{}")},
 		{"bad handle", stream_head("g 1/..")},
 		{"bad data", stream_head("g1") + chunk("data: {{\n\n")},
 		{"bad id", stream_head("g1") + event("g1", "a")},
@@ -283,7 +287,7 @@
 	};
 	uint64_t attempt = 0;
 
-	for (const garbage &bad : cases) {
+	for (const malformed_answer &bad : cases) {
 		SCOPED_TRACE(bad.name);
 		recorder.events.clear();
 		send_generation(++attempt);
@@ -299,8 +303,9 @@
 }
 
 /*
- * An engine mixes another generation's event into the stream. It is counted
- * and dropped; passed on, the caller's answer would be of two runs.
+ * An engine mixes an event of another generation into the stream. The event is
+ * counted and dropped; if it were forwarded, the caller's answer would mix the
+ * output of two generations.
  */
 TEST_F(EndpointClient, DropsAnotherGenerationsEvents)
 {
@@ -314,7 +319,7 @@
 	EXPECT_EQ(1u, counters.value[COUNTER_CHUNKS_DROPPED]);
 }
 
-TEST_F(EndpointClient, ResumesAfterATokenAndSaysWhenItIsGone)
+TEST_F(EndpointClient, ResumesAfterTokenOrFailsAsNotFound)
 {
 	resume(1, 5);
 	auto peer = accept("\r\n\r\n");
@@ -328,7 +333,7 @@
 
 	recorder.events.clear();
 	resume(2, 5);
-	accept("\r\n\r\n")->send(whole(404, "gone"));
+	accept("\r\n\r\n")->send(full_answer(404, "gone"));
 	expect_failed(ATTEMPT_GONE);
 	recorder.events.clear();
 	resume(3, 5);
@@ -337,8 +342,8 @@
 }
 
 /*
- * The caller is gone: nothing more is delivered, the connection is closed, and
- * the engine is told to free the generation's memory.
+ * The caller has disconnected: no more events are delivered, the connection is
+ * closed, and the generation is cancelled so that the engine frees its memory.
  */
 TEST_F(EndpointClient, CancelsTheGeneration)
 {
@@ -350,14 +355,14 @@
 	peer->send(event("g1:2", "late"));
 	auto control = accept("\r\n\r\n");
 	EXPECT_EQ(0u, control->input.find("DELETE /v1/generations/g1 "));
-	control->send(whole(200, ""));
+	control->send(full_answer(200, ""));
 	EXPECT_TRUE(peer->wait_closed());
 	run_idle();
 	EXPECT_EQ(2u, recorder.events.size());
 }
 
-/* The caller is gone before the engine has named the generation. */
-TEST_F(EndpointClient, CancelsAGenerationThatIsNamedLate)
+/* The caller disconnects before the engine has named the generation. */
+TEST_F(EndpointClient, CancelsGenerationNamedLate)
 {
 	send_generation(1);
 	auto peer = accept("}");
@@ -371,7 +376,7 @@
 	EXPECT_EQ(0u, recorder.events.size());
 }
 
-TEST_F(EndpointClient, LetsGoOfAGenerationThatIsToRunOn)
+TEST_F(EndpointClient, DetachesFromGenerationKeptRunning)
 {
 	send_generation(1);
 	auto peer = accept("}");
@@ -385,8 +390,8 @@
 }
 
 /*
- * The core pauses an attempt and another is cancelled from inside a delivery:
- * the rest of what was read is not delivered for the cancelled one.
+ * The core cancels an attempt from inside a delivery: the remaining events that
+ * were already read are not delivered.
  */
 TEST_F(EndpointClient, StopsInsideADelivery)
 {
@@ -405,10 +410,10 @@
 }
 
 /*
- * A slow caller: the attempt is paused. What the engine goes on sending stays
- * in the sockets, so that the engine is held up; after it, all arrives.
+ * A slow caller pauses the attempt. Further output stays in the socket buffers,
+ * so that back pressure reaches the engine; after the pause all of it arrives.
  */
-TEST_F(EndpointClient, HoldsAnEngineUpWhilePaused)
+TEST_F(EndpointClient, AppliesBackPressureWhilePaused)
 {
 	std::string text(1000, 't');
 	size_t sent = 0;
@@ -435,12 +440,12 @@
 	}));
 }
 
-TEST_F(EndpointClient, PassesAPlainAnswerWhateverItsStatus)
+TEST_F(EndpointClient, ForwardsPlainAnswerOfAnyStatus)
 {
 	send(1, make(REQUEST_PLAIN, "DELETE", "/a%2Fb?x=1", ""));
 	auto peer = accept("\r\n\r\n");
 	EXPECT_EQ(0u, peer->input.find("DELETE /a%2Fb?x=1 HTTP/1.1"));
-	peer->send(whole(503, "closed today"));
+	peer->send(full_answer(503, "closed today"));
 	ASSERT_TRUE(recorder.wait(EVENT_ATTEMPT_ANSWER));
 	EXPECT_EQ(503, recorder.events[0].status);
 	EXPECT_EQ("closed today", recorder.events[0].text);
@@ -448,11 +453,11 @@
 }
 
 /*
- * The endpoint dies in the middle of its answer, between two chunks of it, or
- * says nothing in time; or the answer is over the limit. It ran the call, and
- * the caller must not get the part that came as the whole.
+ * The endpoint crashes in the middle of its answer or between two chunks, does
+ * not answer in time, or sends an answer over the limit. It may have run the
+ * request, and the caller must not get a partial answer as a complete one.
  */
-TEST_F(EndpointClient, FailsAnAnswerThatIsNotWhole)
+TEST_F(EndpointClient, FailsIncompleteAnswer)
 {
 	const char *heads[] = {
 		"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
@@ -475,7 +480,7 @@
 	recorder.events.clear();
 	send(8, make(REQUEST_PLAIN, "GET", "/", ""));
 	auto large = accept("\r\n\r\n");
-	large->send(whole(200, std::string(ANSWER_BYTES + 1, 'x')));
+	large->send(full_answer(200, std::string(ANSWER_BYTES + 1, 'x')));
 	expect_failed(ATTEMPT_SENT);
 	recorder.events.clear();
 	send(9, make(REQUEST_PLAIN, "GET", "/", ""), false, 50000);
@@ -506,8 +511,8 @@
 	EXPECT_TRUE(recorder.events[0].flag);
 }
 
-/* A node's stream has no length: it is whole if its last event says so. */
-TEST_F(EndpointClient, TellsANodesWholeStreamFromACutOne)
+/* A node's stream has no length; its last event shows if it is complete. */
+TEST_F(EndpointClient, DetectsIncompleteStreamOfNode)
 {
 	const std::string head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-"
 				 "stream\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -535,12 +540,12 @@
 	EXPECT_EQ(nullptr, g_socket_accept(listener.socket, nullptr, nullptr));
 }
 
-TEST_F(EndpointClient, ReportsLoadOrThatThereIsNone)
+TEST_F(EndpointClient, DeliversLoadOrFailure)
 {
 	poll();
 	auto peer = accept("\r\n\r\n");
 	EXPECT_EQ(0u, peer->input.find("GET /metrics HTTP/1.1"));
-	peer->send(whole(200, "engine_requests_running 3\n"));
+	peer->send(full_answer(200, "engine_requests_running 3\n"));
 	ASSERT_TRUE(recorder.wait(EVENT_LOAD));
 	EXPECT_TRUE(recorder.events[0].flag);
 	EXPECT_EQ(endpoint, recorder.events[0].name);
@@ -548,7 +553,7 @@
 	peer->input.clear();
 	poll();
 	ASSERT_TRUE(peer->wait_for("GET /metrics"));
-	peer->send(whole(200, "engine_requests_running -3\n"));
+	peer->send(full_answer(200, "engine_requests_running -3\n"));
 	ASSERT_TRUE(recorder.wait(EVENT_LOAD, 2));
 	EXPECT_FALSE(recorder.events[1].flag);
 	EXPECT_EQ(1u, counters.value[COUNTER_LOAD_REJECTED]);
--- a/tests/sse_reader_test.cc
+++ b/tests/sse_reader_test.cc
@@ -32,8 +32,8 @@
 	return events;
 }
 
-/* The cuts between reads are the network's: each must give the same events. */
-TEST(SseReader, ReadsTheSameEventsHoweverTheyAreCut)
+/* The network may split a stream anywhere; the events must be the same. */
+TEST(SseReader, SplitsDoNotChangeEvents)
 {
 	const std::string text = ": comment\nid: a:1\ndata: one\n\n"
 				 "data:two\r\ndata\r\ndata:  three\r\n\r\n"
@@ -68,7 +68,7 @@
 	}
 }
 
-TEST(SseReader, StopsWhereItIsTold)
+TEST(SseReader, StopsWhenCallbackReturnsFalse)
 {
 	std::string text;
 	bool ok;
@@ -119,11 +119,11 @@
 
 	for (const char *id : {"g2:11", "g:11", "g11:11", ":11"}) {
 		ASSERT_TRUE(read_event(id, data, &event));
-		EXPECT_TRUE(event.crossed) << id;
+		EXPECT_TRUE(event.other_generation) << id;
 	}
 }
 
-TEST(EngineEvent, RefusesGarbage)
+TEST(EngineEvent, RejectsMalformedEvents)
 {
 	const std::string data = "{\"choices\":[{\"text\":\"a\"}]}";
 	struct engine_event event;
@@ -165,7 +165,7 @@
 	EXPECT_FALSE(report.leaving);
 }
 
-TEST(LoadText, RefusesNegativeAbsurdAndMalformed)
+TEST(LoadText, RejectsNegativeImplausibleMalformed)
 {
 	struct load_report report;
 
