--- a/core/message/action.c
+++ b/core/message/action.c
@@ -68,7 +68,7 @@
 	}
 }
 
-/* An empty list. */
+/* Creates an empty list, to be freed by action_list_destroy(). */
 struct action_list *action_list_create(void)
 {
 	struct action_list *list = g_new0(struct action_list, 1);
@@ -87,13 +87,13 @@
 	g_free(list);
 }
 
-/* How many actions the list holds. */
+/* Returns the number of actions in the list. */
 size_t action_list_count(const struct action_list *list)
 {
 	return list->actions->len;
 }
 
-/* The action at i; valid until the next one is added. */
+/* Returns the action at index i; valid until the next one is added. */
 struct action *action_list_get(struct action_list *list, size_t i)
 {
 	return &g_array_index(list->actions, struct action, i);
@@ -105,7 +105,10 @@
 	g_array_set_size(list->actions, 0);
 }
 
-/* Appends an action with all fields zero; valid until the next one. */
+/*
+ * Appends an action with all other fields zero. The pointer is valid until the
+ * next action is added.
+ */
 struct action *action_list_add(struct action_list *list, enum action_type type)
 {
 	struct action *action;
@@ -117,21 +120,22 @@
 }
 
 /*
- * Appends a log line: pairs of key and value, both strings, ended by NULL. A
- * NULL value ends the list early, so pass "" for an empty one.
+ * Appends a log line. The arguments after event are pairs of key and value,
+ * both strings, ended by NULL. A NULL value would end the list early, so pass
+ * "" for an empty value.
  */
 void action_list_log(struct action_list *list, enum log_level level,
 		     const char *event, ...)
 {
 	struct action *action = action_list_add(list, ACTION_LOG);
-	const char *word;
+	const char *field;
 	va_list args;
 
 	action->log.level = level;
 	action->log.event = event;
 	action->log.fields = g_ptr_array_new_with_free_func(g_free);
 	va_start(args, event);
-	while ((word = va_arg(args, const char *)))
-		g_ptr_array_add(action->log.fields, g_strdup(word));
+	while ((field = va_arg(args, const char *)))
+		g_ptr_array_add(action->log.fields, g_strdup(field));
 	va_end(args);
 }
--- a/core/message/kv.c
+++ b/core/message/kv.c
@@ -9,26 +9,26 @@
 	g_free(entry);
 }
 
-/* Frees what a request holds, not the struct itself. */
+/* Frees the members of a request, but not the struct itself. */
 void kv_request_clear(struct kv_request *request)
 {
 	g_clear_pointer(&request->key, g_free);
 	g_clear_pointer(&request->value, g_bytes_unref);
 }
 
-/* Frees what an answer holds, not the struct itself. */
+/* Frees the members of an answer, but not the struct itself. */
 void kv_answer_clear(struct kv_answer *answer)
 {
 	g_clear_pointer(&answer->entries, g_ptr_array_unref);
 }
 
-/* An empty list of entries that owns what is added. */
+/* Creates an empty list of struct kv_entry; the list owns its entries. */
 GPtrArray *kv_entries_create(void)
 {
 	return g_ptr_array_new_with_free_func(kv_entry_destroy);
 }
 
-/* Appends an entry; takes a reference to value. */
+/* Appends an entry; copies key and takes a reference to value. */
 struct kv_entry *kv_entries_add(GPtrArray *entries, const char *key,
 				GBytes *value, int64_t create_revision,
 				int64_t mod_revision)
@@ -43,7 +43,7 @@
 	return entry;
 }
 
-/* Name of an outcome, as in logs. */
+/* Returns the name of an outcome for log lines. */
 const char *kv_outcome_name(enum kv_outcome outcome)
 {
 	switch (outcome) {
--- a/core/message/peer_message.c
+++ b/core/message/peer_message.c
@@ -37,7 +37,10 @@
 	g_free(holding);
 }
 
-/* A message of this type with empty lists where the type has lists. */
+/*
+ * Creates a message of this type, with empty lists where the type has lists; to
+ * be freed by peer_message_destroy().
+ */
 struct peer_message *peer_message_create(enum peer_message_type type)
 {
 	struct peer_message *message = g_new0(struct peer_message, 1);
@@ -142,7 +145,7 @@
 	}
 }
 
-/* Frees a message and all it holds; NULL is allowed. */
+/* Frees a message and all it owns; NULL is allowed. */
 void peer_message_destroy(struct peer_message *message)
 {
 	if (!message)
@@ -153,13 +156,13 @@
 	g_free(message);
 }
 
-/* Name of a type, as in logs. */
+/* Returns the name of a type for log lines, or "unknown". */
 const char *peer_message_type_name(enum peer_message_type type)
 {
 	return type < PEER_MESSAGE_TYPES ? type_names[type] : "unknown";
 }
 
-/* A deep copy. */
+/* Returns a deep copy, to be freed by member_destroy(). */
 struct member *member_copy(const struct member *member)
 {
 	struct member *copy = g_new0(struct member, 1);
@@ -186,13 +189,13 @@
 	g_free(member);
 }
 
-/* An empty list that owns its members. */
+/* Creates an empty list that owns its members. */
 GPtrArray *member_list_create(void)
 {
 	return g_ptr_array_new_with_free_func(member_free);
 }
 
-/* Appends an empty holding, owned by the message. */
+/* Appends an empty holding; the message owns it. */
 struct peer_holding *peer_progress_add(struct peer_progress *progress)
 {
 	struct peer_holding *holding = g_new0(struct peer_holding, 1);
@@ -202,8 +205,8 @@
 }
 
 /*
- * Adds an endpoint on which the sender holds nothing yet; to be filled in
- * before the next is added.
+ * Appends an endpoint with zero load. The pointer is valid until the next one
+ * is added.
  */
 struct peer_held *peer_standing_add(struct peer_standing *standing,
 				    uint64_t endpoint_key)
@@ -217,7 +220,7 @@
 	return held;
 }
 
-/* Appends an empty limit, owned by the message. */
+/* Appends an empty limit; the message owns it. */
 struct peer_limit *peer_limits_add(struct peer_limits *limits)
 {
 	struct peer_limit *limit = g_new0(struct peer_limit, 1);
--- a/core/message/refusal.c
+++ b/core/message/refusal.c
@@ -22,16 +22,16 @@
 	[REFUSAL_RATE_LIMIT] = {429, RUN_NO, "rate_limit",
 				"the organisation is over its request rate"},
 	[REFUSAL_TOKEN_LIMIT] = {429, RUN_NO, "token_limit",
-				 "the organisation is over its tokens at once"},
+				 "the organisation is over its token limit"},
 	[REFUSAL_QUEUE_FULL] = {429, RUN_NO, "queue_full",
-				"too many requests wait"},
+				"too many requests are queued"},
 	[REFUSAL_DEADLINE] = {503, RUN_NO, "deadline",
 			      "the deadline cannot be met"},
 	[REFUSAL_NO_ENDPOINT] = {503, RUN_NO, "no_endpoint",
 				 "no endpoint can take the request"},
-	[REFUSAL_DRAINING] = {503, RUN_NO, "draining", "the node is leaving"},
+	[REFUSAL_DRAINING] = {503, RUN_NO, "draining", "the node is draining"},
 	[REFUSAL_ISOLATED] = {503, RUN_NO, "isolated",
-			      "the node is cut off from its peers"},
+			      "the node is partitioned from its peers"},
 	[REFUSAL_KV_UNAVAILABLE] = {503, RUN_NO, "kv_unavailable",
 				    "the id could not be claimed"},
 	[REFUSAL_KEY_REQUIRED] = {400, RUN_NO, "key_required",
@@ -43,18 +43,19 @@
 				     "the request may have run; it will not "
 				     "be run again"},
 	[REFUSAL_ID_EXPIRED] = {409, RUN_UNKNOWN, "id_expired",
-				"the id is older than ids are remembered"},
+				"the id is older than the time that ids "
+				"are kept"},
 	[REFUSAL_ALREADY_RUN] = {409, RUN_YES, "already_run",
-				 "the request ran whole; its answer is no "
-				 "longer kept"},
+				 "the request ran to its end; its answer "
+				 "is no longer kept"},
 	[REFUSAL_KEY_REUSED] = {422, RUN_NO, "key_reused",
 				"the id was used with another body"},
 	[REFUSAL_QUARANTINED] = {503, RUN_NO, "quarantined",
 				 "earlier runs of this request crashed "
 				 "endpoints"},
 	[REFUSAL_BAD_EVENT_ID] = {400, RUN_NO, "bad_event_id",
-				  "the event id is not one of this "
-				  "organisation's"},
+				  "the event id does not belong to this "
+				  "organisation"},
 	[REFUSAL_GENERATION_GONE] = {410, RUN_YES, "generation_gone",
 				     "the generation is gone; a new request "
 				     "starts a new one"},
@@ -64,31 +65,31 @@
 				      "the endpoint did not answer in time"},
 };
 
-/* HTTP status of a refusal. */
+/* Returns the HTTP status of a refusal. */
 int refusal_status(enum refusal refusal)
 {
 	return descriptions[refusal].status;
 }
 
-/* Its code in the JSON body and in logs. */
+/* Returns the code of a refusal in the JSON body and in log lines. */
 const char *refusal_code(enum refusal refusal)
 {
 	return descriptions[refusal].code;
 }
 
-/* One English clause for the caller. */
+/* Returns an English description of a refusal for the caller. */
 const char *refusal_text(enum refusal refusal)
 {
 	return descriptions[refusal].text;
 }
 
-/* Whether the request ran, where nothing better is known of this call. */
+/* Returns the default "run" value, for calls whose own run is not known. */
 enum run refusal_run(enum refusal refusal)
 {
 	return descriptions[refusal].run;
 }
 
-/* "no", "yes" or "unknown". */
+/* Returns "no", "yes" or "unknown", as in answers. */
 const char *run_name(enum run run)
 {
 	switch (run) {
--- a/core/message/registration.c
+++ b/core/message/registration.c
@@ -12,7 +12,7 @@
 	g_free(registration);
 }
 
-/* A copy of its own. */
+/* Returns a deep copy, to be freed by registration_destroy(). */
 struct registration *registration_copy(const struct registration *other)
 {
 	struct registration *copy = g_memdup2(other, sizeof(*other));
@@ -29,7 +29,7 @@
 	registration_destroy(data);
 }
 
-/* An empty list that frees what it holds. */
+/* Creates an empty list that owns its registrations. */
 GPtrArray *registration_list_create(void)
 {
 	return g_ptr_array_new_with_free_func(registration_free);
--- a/core/message/request.c
+++ b/core/message/request.c
@@ -15,7 +15,10 @@
 	g_bytes_unref(request->body);
 }
 
-/* A request with an empty body, default priority and one reference. */
+/*
+ * Creates a request with one reference, an empty body, the organisation's
+ * priority and a prompt of 1 token.
+ */
 struct request *request_create(enum request_kind kind)
 {
 	struct request *request = g_rc_box_new0(struct request);
@@ -27,13 +30,13 @@
 	return request;
 }
 
-/* Takes another reference and returns the same request. */
+/* Takes a reference and returns the same request. */
 struct request *request_ref(struct request *request)
 {
 	return g_rc_box_acquire(request);
 }
 
-/* Drops a reference; NULL is allowed. */
+/* Drops a reference and frees the request with the last; NULL is allowed. */
 void request_unref(struct request *request)
 {
 	if (request)
--- a/ports/action.h
+++ b/ports/action.h
@@ -13,29 +13,29 @@
 G_BEGIN_DECLS
 
 /*
- * What the core asks to be done. An action owns what it points to; the driver
- * carries the actions of one step out in order and then clears the list.
+ * Actions: the output of the core. An action owns what it points to. The driver
+ * carries out the actions of one step in order and then clears the list.
  */
 
 enum action_type {
-	ACTION_CALL_ANSWER, /* a whole answer; ends the call */
-	ACTION_CALL_REFUSE, /* a refusal; ends the call */
-	ACTION_CALL_BEGIN,  /* a stream starts; nothing is sent before */
+	ACTION_CALL_ANSWER, /* sends a complete answer; ends the call */
+	ACTION_CALL_REFUSE, /* sends a refusal; ends the call */
+	ACTION_CALL_BEGIN,  /* starts a stream; nothing is sent before it */
 	ACTION_CALL_CHUNK,
-	ACTION_CALL_END,       /* the stream's end, whole or with an error */
-	ACTION_ATTEMPT_SEND,   /* request to an endpoint */
-	ACTION_ATTEMPT_RESUME, /* attach to a generation after next_token */
+	ACTION_CALL_END,       /* ends the stream, complete or with an error */
+	ACTION_ATTEMPT_SEND,   /* sends a request to an endpoint */
+	ACTION_ATTEMPT_RESUME, /* reattaches to a generation, from next_token */
 	ACTION_ATTEMPT_CANCEL,
-	ACTION_ATTEMPT_FLOW, /* stop or go on reading */
-	ACTION_POLL_LOAD,    /* ask an endpoint for its load */
-	ACTION_ORDER,	     /* give an engine a target */
-	ACTION_READ_ORDER,   /* ask an engine for its target */
+	ACTION_ATTEMPT_FLOW, /* pauses or continues reading the answer */
+	ACTION_POLL_LOAD,    /* requests an endpoint's load report */
+	ACTION_ORDER,	     /* sets the target of an engine */
+	ACTION_READ_ORDER,   /* reads the target of an engine */
 	ACTION_PEER_SEND,
 	ACTION_KV,
-	ACTION_KV_WATCH, /* watch this key from now on */
-	ACTION_CONFIG,	 /* this configuration is in force here */
+	ACTION_KV_WATCH, /* starts to watch a key */
+	ACTION_CONFIG,	 /* a configuration took effect on this node */
 	ACTION_LOG,
-	ACTION_STOPPED, /* drained: the process may end */
+	ACTION_STOPPED, /* draining has ended: the process may exit */
 	ACTION_TYPES
 };
 
@@ -44,15 +44,15 @@
 	int32_t status;
 	char *content_type;
 	GBytes *body;
-	bool replayed; /* the first outcome of a repeated id */
+	bool replayed; /* outcome of the first run of a repeated id */
 };
 
 struct action_call_refuse {
 	uint64_t call;
 	enum refusal refusal;
 	enum run run;
-	int64_t retry_after_us; /* 0: coming back does not help */
-	char *detail;		/* more for the caller, or NULL */
+	int64_t retry_after_us; /* 0: a retry does not help */
+	char *detail;		/* further text for the caller, or NULL */
 };
 
 struct action_call_chunk {
@@ -63,7 +63,7 @@
 
 struct action_call_end {
 	uint64_t call;
-	enum refusal refusal; /* REFUSAL_NONE: whole */
+	enum refusal refusal; /* REFUSAL_NONE: the stream is complete */
 	enum run run;
 	int64_t retry_after_us;
 	int64_t token_count;
@@ -72,12 +72,12 @@
 
 struct action_attempt_send {
 	uint64_t attempt;
-	uint64_t call; /* for the log */
+	uint64_t call; /* only for log lines */
 	char *endpoint;
 	struct request *request;
 	int32_t priority;
-	bool to_node; /* the endpoint is another node: mark as forwarded */
-	int64_t timeout_us; /* plain: whole answer; 0: none */
+	bool to_node;	    /* to another node, so marked as forwarded */
+	int64_t timeout_us; /* plain: until the answer is complete; 0: none */
 };
 
 struct action_attempt_resume {
@@ -90,7 +90,7 @@
 
 struct action_attempt_cancel {
 	uint64_t attempt;
-	bool keep_running; /* only let go: the caller may resume */
+	bool keep_running; /* detach only: the caller may resume */
 };
 
 struct action_attempt_flow {
@@ -104,7 +104,7 @@
 
 struct action_order {
 	char *endpoint;
-	int64_t fence; /* number of the holder's lease */
+	int64_t fence; /* fencing number of the holder's lease */
 	char *target;
 	int64_t timeout_us;
 };
@@ -129,7 +129,7 @@
 struct action_log {
 	enum log_level level;
 	const char *event; /* static name, such as "call_end" */
-	GPtrArray *fields; /* char *: key, value, key, value ... */
+	GPtrArray *fields; /* char *: keys and values, alternating */
 };
 
 struct action {
--- a/ports/event.h
+++ b/ports/event.h
@@ -14,34 +14,34 @@
 G_BEGIN_DECLS
 
 /*
- * What the core is told. The driver owns an event and all it points to; the
- * core copies or references what it keeps.
+ * Events: the input of the core. The driver owns an event and all it points to;
+ * the core copies or references what it keeps.
  *
- * call     names a caller's open HTTP exchange; chosen by the driver, never
- *          used twice by one process.
- * attempt  names one request sent to an endpoint; chosen by the core, never
- *          used twice by one process.
+ * call     identifies a caller's open HTTP exchange. The driver assigns it and
+ *          uses no value twice in one process.
+ * attempt  identifies one request sent to an endpoint. The core assigns it and
+ *          uses no value twice in one process.
  */
 
 enum event_type {
-	EVENT_TIMER, /* node_next_due_us() has come */
+	EVENT_TIMER, /* the time node_next_due_us() was reached */
 	EVENT_CALL,
-	EVENT_CALL_GONE, /* the caller closed */
-	EVENT_CALL_FLOW, /* its buffer is above or again below the mark */
-	EVENT_QUERY,	 /* operators and callers asking about the system */
+	EVENT_CALL_GONE, /* the caller disconnected */
+	EVENT_CALL_FLOW, /* send buffer rose above or fell below its mark */
+	EVENT_QUERY,	 /* an operator or a caller queries the system */
 	EVENT_ATTEMPT_STARTED,
 	EVENT_ATTEMPT_CHUNK,
 	EVENT_ATTEMPT_DONE,
-	EVENT_ATTEMPT_ANSWER, /* plain endpoint's whole answer */
+	EVENT_ATTEMPT_ANSWER, /* complete answer of a plain endpoint */
 	EVENT_ATTEMPT_FAILED,
 	EVENT_LOAD,
-	EVENT_ORDER,	   /* what became of an order */
-	EVENT_ORDER_STATE, /* what an engine says of its target */
+	EVENT_ORDER,	   /* outcome of an ACTION_ORDER */
+	EVENT_ORDER_STATE, /* target and state read from an engine */
 	EVENT_PEER,
 	EVENT_KV,
 	EVENT_KV_WATCH,
 	EVENT_VM_LIST,
-	EVENT_SHUTDOWN, /* start to drain */
+	EVENT_SHUTDOWN, /* the node starts to drain */
 	EVENT_TYPES
 };
 
@@ -52,7 +52,7 @@
 
 struct event_call_flow {
 	uint64_t call;
-	bool full;
+	bool full; /* send buffer is above its mark */
 };
 
 enum query_type {
@@ -67,9 +67,9 @@
 struct event_query {
 	uint64_t call;
 	enum query_type type;
-	const char *operator_name; /* who asks; "" for callers */
-	const char *plan_id;	   /* confirm */
-	GBytes *body;		   /* plan: the intent; else NULL */
+	const char *operator_name; /* "" if a caller queries */
+	const char *plan_id;	   /* QUERY_CONFIRM */
+	GBytes *body;		   /* QUERY_PLAN: the intent; else NULL */
 };
 
 struct event_attempt_started {
@@ -81,12 +81,12 @@
 	uint64_t attempt;
 	int64_t first_token; /* offset of the first token in this chunk */
 	int64_t token_count;
-	GBytes *data; /* JSON of the event, passed on verbatim */
+	GBytes *data; /* JSON of the event, forwarded verbatim */
 };
 
 struct event_attempt_done {
 	uint64_t attempt;
-	int64_t token_count; /* tokens of the whole generation; -1: not said */
+	int64_t token_count; /* of the complete generation; -1: unknown */
 	const char *finish_reason;
 };
 
@@ -95,14 +95,14 @@
 	int32_t status;
 	const char *content_type;
 	GBytes *body;
-	bool replayed; /* a node's first outcome of a repeated id */
+	bool replayed; /* first outcome of a repeated id, from a node */
 };
 
 enum attempt_stage {
-	ATTEMPT_NOT_SENT, /* no byte has left for the endpoint */
-	ATTEMPT_REFUSED,  /* the engine answered that it did not run it */
+	ATTEMPT_NOT_SENT, /* no byte was sent to the endpoint */
+	ATTEMPT_REFUSED,  /* the engine answered: not run */
 	ATTEMPT_GONE,	  /* resume: the engine does not know the generation */
-	ATTEMPT_SENT	  /* may have run, or is running */
+	ATTEMPT_SENT	  /* the request may have run or may still run */
 };
 
 struct event_attempt_failed {
@@ -113,14 +113,14 @@
 
 struct event_load {
 	const char *endpoint;
-	bool reached; /* false: no report could be had */
+	bool reached; /* false: no load report was received */
 	struct load_report report;
 };
 
 enum order_outcome {
 	ORDER_TAKEN,
 	ORDER_STALE,   /* the engine has seen a higher fencing number */
-	ORDER_REFUSED, /* the engine cannot */
+	ORDER_REFUSED, /* the engine cannot take this target */
 	ORDER_LOST     /* not sent, or sent and not answered */
 };
 
@@ -131,9 +131,9 @@
 
 struct event_order_state {
 	const char *endpoint;
-	const char *target;	  /* NULL: it did not answer */
-	bool loading;		  /* works on an order it has taken */
-	int64_t requests_running; /* as it counts itself, without a lag */
+	const char *target;	  /* NULL: the engine did not answer */
+	bool loading;		  /* still carries out an accepted order */
+	int64_t requests_running; /* the engine's own count, without a lag */
 };
 
 struct event_kv_watch {
@@ -143,7 +143,7 @@
 };
 
 struct vm {
-	const char *address; /* host:port of the endpoint on it */
+	const char *address; /* host:port of the endpoint on this VM */
 	bool leaving;
 };
 
--- a/ports/kv.h
+++ b/ports/kv.h
@@ -8,16 +8,16 @@
 G_BEGIN_DECLS
 
 /*
- * What the core asks of the platform's key-value service. A lost answer is an
- * outcome of its own: the write may or may not have taken effect, and only a
- * read tells.
+ * Requests to the platform's key-value service, and its answers. A lost answer
+ * is a separate outcome: the write may or may not have taken effect, and only a
+ * read shows which.
  */
 
 enum kv_op {
 	KV_GET,
-	KV_CAS,	   /* write if the key is at expected_revision */
-	KV_LIST,   /* all keys below a prefix */
-	KV_DELETE, /* if the key is at expected_revision */
+	KV_CAS,	   /* writes if the key is at expected_revision */
+	KV_LIST,   /* lists all keys under a prefix */
+	KV_DELETE, /* deletes if the key is at expected_revision */
 	KV_LEASE_GRANT,
 	KV_LEASE_KEEPALIVE,
 	KV_LEASE_REVOKE
@@ -25,23 +25,23 @@
 
 enum kv_outcome {
 	KV_OK,
-	KV_CONFLICT,	/* compare failed; the answer holds what is there */
+	KV_CONFLICT, /* comparison failed; the answer holds the present entry */
 	KV_NOT_FOUND,	/* no such key or lease */
-	KV_NOT_APPLIED, /* certainly not applied: never sent, or refused */
-	KV_ANSWER_LOST	/* sent and not answered: may have been applied */
+	KV_NOT_APPLIED, /* certainly not applied: not sent, or refused */
+	KV_ANSWER_LOST	/* sent, no answer: may have been applied */
 };
 
 struct kv_request {
-	uint64_t id; /* chosen by the core, repeated in the answer */
+	uint64_t id; /* assigned by the core, repeated in the answer */
 	enum kv_op op;
 	char *key;
 	GBytes *value;
 	int64_t expected_revision; /* 0: the key must not exist */
 	int64_t lease;		   /* 0: none */
-	int64_t ttl_s;		   /* lease grant */
+	int64_t ttl_s;		   /* KV_LEASE_GRANT only */
 	int64_t timeout_us;
-	int64_t read_revision; /* get: as it was then; 0: now */
-	bool allow_stale;      /* a read may be seconds old, and costs less */
+	int64_t read_revision; /* get: state at this revision; 0: latest */
+	bool allow_stale; /* accept a read that is seconds old; costs less */
 };
 
 struct kv_entry {
@@ -55,7 +55,7 @@
 	uint64_t id;
 	enum kv_op op;
 	enum kv_outcome outcome;
-	int64_t revision; /* of the service when it answered */
+	int64_t revision; /* of the service at the time of the answer */
 	int64_t lease;
 	int64_t ttl_s;
 	GPtrArray *entries; /* struct kv_entry; NULL when none */
--- a/ports/load_report.h
+++ b/ports/load_report.h
@@ -8,11 +8,11 @@
 G_BEGIN_DECLS
 
 /*
- * What an endpoint says of itself, late and perhaps wrongly. Plain data.
- * A field the endpoint did not report is -1.
+ * Load that an endpoint reports for itself; it lags and may be wrong. The
+ * struct owns nothing. A field that the endpoint did not report is -1.
  */
 struct load_report {
-	int64_t reported_at_us; /* endpoint's own clock: for order only */
+	int64_t reported_at_us; /* endpoint's clock, only to order reports */
 	int64_t running;
 	int64_t waiting;
 	int64_t tokens_used;
--- a/ports/peer_message.h
+++ b/ports/peer_message.h
@@ -11,45 +11,45 @@
 G_BEGIN_DECLS
 
 /*
- * Records between nodes. Each carries its sender; a record is a hint or a
- * statement of the sender about itself, and none is ever needed for safety.
+ * Records that nodes send to each other. Each names its sender. A record is a
+ * hint or states facts about its sender; safety depends on none of them.
  */
 
 enum peer_message_type {
-	PEER_PING, /* probe; answered by PEER_ACK of that number */
+	PEER_PING, /* probe; answered by a PEER_ACK with its number */
 	PEER_ACK,
-	PEER_PROBE,	   /* please ping subject for me */
-	PEER_PLACE,	   /* entry node asks the home for an endpoint */
-	PEER_PLACED,	   /* home grants room on an endpoint */
-	PEER_REFUSED,	   /* home refuses */
-	PEER_PROGRESS,	   /* entry node: tokens so far, also who is held */
+	PEER_PROBE,	   /* asks the receiver to ping subject */
+	PEER_PLACE,	   /* entry node requests an endpoint from the home */
+	PEER_PLACED,	   /* home grants capacity on an endpoint, or queues */
+	PEER_REFUSED,	   /* home refuses the request */
+	PEER_PROGRESS,	   /* entry node: grants it holds, tokens so far */
 	PEER_RELEASE,	   /* entry node: a grant has ended */
 	PEER_CONFIG,	   /* a configuration document and its revision */
-	PEER_CONFIG_ASK,   /* send me yours if it is newer */
-	PEER_LEAVING,	   /* these endpoints take no new work */
-	PEER_QUARANTINE,   /* fingerprint seen at a crash of an endpoint */
-	PEER_LIMIT_REPORT, /* what is wanted of organisations\' limits */
-	PEER_LIMIT_SHARE,  /* the receiver\'s shares of them */
-	PEER_STANDING,	   /* gateway: what it holds, endpoints' news */
+	PEER_CONFIG_ASK,   /* requests the configuration if it is newer */
+	PEER_LEAVING,	   /* these endpoints take no new requests */
+	PEER_QUARANTINE,   /* request fingerprint seen at an endpoint's crash */
+	PEER_LIMIT_REPORT, /* sender's demand on organisations' limits */
+	PEER_LIMIT_SHARE,  /* receiver's shares of organisations' limits */
+	PEER_STANDING,	   /* gateway: its state and endpoint updates */
 	PEER_ROUTES,	   /* gateway: its configuration document */
-	PEER_CHOOSE,	   /* gateway: asks its home for an engine */
-	PEER_CHOSEN,	   /* the home's answer */
-	PEER_ROUTES_ASK,   /* gateway: send me yours if it is newer */
+	PEER_CHOOSE,	   /* gateway: requests an engine from its home */
+	PEER_CHOSEN,	   /* home: answer to PEER_CHOOSE */
+	PEER_ROUTES_ASK,   /* gateway: requests the routes if they are newer */
 	PEER_MESSAGE_TYPES
 };
 
 enum member_state {
 	MEMBER_LIVE,
 	MEMBER_SUSPECT,
-	MEMBER_LEAVING, /* draining: no new work */
+	MEMBER_LEAVING, /* draining: takes no new requests */
 	MEMBER_DEAD
 };
 
-/* A node as others know it. */
+/* Membership entry of a node. */
 struct member {
 	char *name;
-	uint64_t incarnation; /* random at each start of the process */
-	uint64_t version;     /* raised by the member itself on each change */
+	uint64_t incarnation; /* drawn at random when the process starts */
+	uint64_t version;     /* incremented by the member on each change */
 	enum member_state state;
 	char *http_address;
 	char *peer_address;
@@ -65,15 +65,15 @@
 	int32_t priority;
 	int64_t prompt_tokens;
 	int64_t max_tokens;
-	int64_t deadline_in_us; /* from now; 0: none */
+	int64_t deadline_in_us; /* relative to receipt; 0: none */
 	uint64_t prefix_hash;
-	uint64_t avoid_hash; /* endpoint that just failed it; 0: none */
+	uint64_t avoid_hash; /* endpoint that failed it last; 0: none */
 	int64_t true_tokens; /* benches only */
 };
 
 struct peer_placed {
 	uint64_t ticket;
-	char *endpoint; /* "": queued at the home, not granted yet */
+	char *endpoint; /* "": queued at the home, no grant yet */
 };
 
 struct peer_refused {
@@ -86,8 +86,8 @@
 	RELEASE_WHOLE,
 	RELEASE_CANCELLED,
 	RELEASE_NOT_SENT,
-	RELEASE_FAILED, /* endpoint failed or stalled while it ran */
-	RELEASE_LOST	/* endpoint could not be reached at all */
+	RELEASE_FAILED, /* the endpoint failed or stalled during the run */
+	RELEASE_LOST	/* the endpoint could not be reached */
 };
 
 struct peer_release {
@@ -97,7 +97,7 @@
 	int64_t duration_us;
 };
 
-/* One grant that the sender holds, with all a new home needs to know. */
+/* One grant that the sender holds, with all data that a new home needs. */
 struct peer_holding {
 	uint64_t ticket;
 	char *service;
@@ -110,7 +110,7 @@
 };
 
 struct peer_progress {
-	bool complete;	     /* the sender holds nothing else of this home */
+	bool complete; /* holdings lists all the sender's grants of this home */
 	GPtrArray *holdings; /* struct peer_holding */
 };
 
@@ -128,11 +128,11 @@
 	char *endpoint;
 };
 
-/* Part of an organisation's limits: wanted, or granted. */
+/* A node's demand on, or its share of, an organisation's limits. */
 struct peer_limit {
-	uint32_t organisation_hash; /* home_hash of its name, low bits */
-	int64_t rate_per_ks;	    /* requests in 1,000 s */
-	int64_t tokens;		    /* at once */
+	uint32_t organisation_hash; /* low bits of home_hash of the name */
+	int64_t rate_per_ks;	    /* requests per 1,000 s */
+	int64_t tokens;		    /* of concurrent requests */
 };
 
 struct peer_limits {
@@ -142,34 +142,35 @@
 struct peer_probe {
 	uint64_t number;
 	char *subject;	    /* peer address to be probed; "" for ping and ack */
-	GPtrArray *members; /* struct member: what is being spread */
+	GPtrArray *members; /* struct member: membership updates */
 };
 
-/* What the sender's gateway holds on an endpoint. */
+/* Load of the sender's gateway on an endpoint. */
 struct peer_held {
-	uint64_t endpoint_key; /* stands for the id of one start of it */
+	uint64_t endpoint_key; /* hash of the endpoint's registration id */
 	int32_t requests;
-	int32_t copies; /* backups of generations kept there */
+	int32_t copies; /* backups of generations that the endpoint keeps */
 	int64_t tokens;
-	int64_t unread_tokens; /* of prompts that have no answer yet */
+	int64_t unread_tokens; /* of prompts without an answer yet */
 };
 
+/* State of a gateway: its routes, its load on endpoints, registrations. */
 struct peer_standing {
-	int64_t table_version; /* of its routes; -1: none yet */
-	uint64_t answered;     /* its questions up to this one are in held */
-	bool takes_work;
+	int64_t table_version; /* of the sender's routes; -1: none yet */
+	uint64_t answered; /* held includes all PEER_CHOOSE up to this number */
+	bool takes_work;   /* accepts new requests */
 	bool reaches_store;
-	char *callers_address;
-	GArray *held;		  /* struct peer_held: all of it */
-	GPtrArray *registrations; /* struct registration: some */
+	char *callers_address;	  /* where callers connect */
+	GArray *held;		  /* struct peer_held: the complete load */
+	GPtrArray *registrations; /* struct registration: some of them */
 };
 
-/* A generation that is to be placed. */
+/* Requests an engine, and maybe a backup, for one generation. */
 struct peer_choose {
-	uint64_t number; /* rising, of the sender */
+	uint64_t number; /* increasing for each sender */
 	char *service;
 	char *failure_domain; /* of the sender */
-	int64_t tokens;	      /* in memory at the expected end */
+	int64_t tokens;	      /* held in memory at the expected end */
 	int64_t prompt_tokens;
 	bool wants_backup;
 	GPtrArray *avoid; /* char *: ids of endpoints */
@@ -177,14 +178,14 @@
 
 struct peer_chosen {
 	uint64_t number;
-	char *endpoint; /* id; "": none has room */
+	char *endpoint; /* id; "": the generation fits nowhere */
 	char *backup;	/* id; "": none */
 };
 
 struct peer_message {
 	enum peer_message_type type;
-	char *from;	    /* name of the sending node; "": by incarnation */
-	char *from_address; /* its peer address; "": by incarnation */
+	char *from;	    /* name of the sender; "": find it by incarnation */
+	char *from_address; /* its peer address; "": find it by incarnation */
 	uint64_t incarnation;
 	union {
 		struct peer_probe probe; /* PING, ACK, PROBE */
@@ -193,7 +194,7 @@
 		struct peer_refused refused;
 		struct peer_progress progress;
 		struct peer_release release;
-		struct peer_config config; /* CONFIG, ROUTES, and to ask */
+		struct peer_config config; /* CONFIG, ROUTES, their requests */
 		struct peer_standing standing;
 		struct peer_choose choose;
 		struct peer_chosen chosen;
--- a/ports/refusal.h
+++ b/ports/refusal.h
@@ -7,9 +7,9 @@
 G_BEGIN_DECLS
 
 /*
- * Why a call got no whole answer, and what the caller may conclude. The table
- * in core/message/refusal.c gives each its HTTP status, its code in the JSON
- * body and its default "run" value.
+ * Why a call got no complete answer, and whether its request ran. The table in
+ * core/message/refusal.c lists for each refusal the HTTP status, the code in
+ * the JSON body and the default "run" value.
  */
 
 enum run { RUN_NO, RUN_YES, RUN_UNKNOWN };
@@ -24,21 +24,20 @@
 	REFUSAL_RATE_LIMIT,
 	REFUSAL_TOKEN_LIMIT,
 	REFUSAL_QUEUE_FULL,
-	REFUSAL_DEADLINE,    /* cannot be met: said at once */
-	REFUSAL_NO_ENDPOINT, /* none live, or none has room in time */
+	REFUSAL_DEADLINE,    /* cannot be met; refused without a wait */
+	REFUSAL_NO_ENDPOINT, /* none is live, or none has capacity in time */
 	REFUSAL_DRAINING,
-	REFUSAL_ISOLATED, /* node cut off: may hold an old configuration */
-	REFUSAL_KV_UNAVAILABLE,	 /* the id could not be claimed */
-	REFUSAL_KEY_REQUIRED,	 /* non-idempotent without Idempotency-Key */
-	REFUSAL_IN_PROGRESS,	 /* this id is running now */
-	REFUSAL_UNKNOWN_OUTCOME, /* this id may have run; it will not run again
-				  */
-	REFUSAL_ID_EXPIRED,	 /* issued longer ago than ids are remembered */
-	REFUSAL_ALREADY_RUN, /* ran whole; its outcome is not kept any more */
-	REFUSAL_KEY_REUSED,  /* same id, another body */
+	REFUSAL_ISOLATED, /* node partitioned: its configuration may be old */
+	REFUSAL_KV_UNAVAILABLE, /* the id could not be claimed */
+	REFUSAL_KEY_REQUIRED,	/* non-idempotent and without Idempotency-Key */
+	REFUSAL_IN_PROGRESS,	/* a request with this id is running */
+	REFUSAL_UNKNOWN_OUTCOME, /* may have run; will not run again */
+	REFUSAL_ID_EXPIRED,	 /* issued longer ago than ids are kept */
+	REFUSAL_ALREADY_RUN, /* ran to its end; the outcome is no longer kept */
+	REFUSAL_KEY_REUSED,  /* same id with another body */
 	REFUSAL_QUARANTINED,
-	REFUSAL_BAD_EVENT_ID,	 /* forged, or another organisation's */
-	REFUSAL_GENERATION_GONE, /* cannot be resumed: a resend starts anew */
+	REFUSAL_BAD_EVENT_ID,	 /* forged, or of another organisation */
+	REFUSAL_GENERATION_GONE, /* not resumable; a retry starts a new one */
 	REFUSAL_ENDPOINT_FAILED,
 	REFUSAL_ENDPOINT_TIMEOUT,
 	REFUSAL_COUNT
--- a/ports/registration.h
+++ b/ports/registration.h
@@ -7,16 +7,16 @@
 
 G_BEGIN_DECLS
 
-/* What an endpoint says of itself, or that its entry is gone. */
+/* An endpoint's registration in the store, or the notice of its removal. */
 struct registration {
-	char *id; /* of one start of the endpoint */
+	char *id; /* differs at each start of the endpoint */
 	char *service;
 	char *address;
 	char *failure_domain;
-	int64_t started_ms; /* 0: not said */
+	int64_t started_ms; /* 0: unknown */
 	int64_t warmup_left_us;
-	int64_t revision; /* of the store, when it was written */
-	int32_t slots;	  /* requests at once; 0: not said */
+	int64_t revision; /* revision of the store at which it was written */
+	int32_t slots;	  /* concurrent requests; 0: unknown */
 	bool is_leaving;
 	bool is_removed; /* only id and revision are filled in */
 };
--- a/ports/request.h
+++ b/ports/request.h
@@ -8,9 +8,9 @@
 G_BEGIN_DECLS
 
 /*
- * A caller's request as the HTTP adapter read it. Shared by reference count
- * and not changed after it was handed to the core. Strings are NULL where the
- * caller sent nothing.
+ * A caller's request as parsed by the HTTP adapter. It is reference-counted and
+ * immutable once the core has it. Strings are NULL where the caller sent
+ * nothing.
  */
 
 enum request_kind {
@@ -23,22 +23,22 @@
 	enum request_kind kind;
 	bool stream;	     /* answer as server-sent events */
 	bool non_idempotent; /* X-Non-Idempotent: true */
-	bool forwarded;	     /* came from another node: never forwarded again */
+	bool forwarded;	     /* sent by another node: not forwarded again */
 	char *bearer;
 	char *organisation; /* X-Organisation */
 	char *service;	    /* "model" of the body, or SERVICE of the path */
 	char *idempotency_key;
 	char *last_event_id;
 	char *method; /* plain: GET, POST, ... */
-	char *path;   /* path and query as sent on to the endpoint */
+	char *path;   /* path and query, as forwarded to the endpoint */
 	char *content_type;
 	GBytes *body;		/* verbatim; never NULL, may be empty */
-	int64_t deadline_in_us; /* from its arrival; 0: none */
-	int32_t priority;	/* 0 to 9, -1: the organisation's */
+	int64_t deadline_in_us; /* relative to arrival; 0: none */
+	int32_t priority;	/* 0 to 9; -1: the organisation's default */
 	int64_t prompt_tokens;	/* estimate, at least 1 */
-	int64_t max_tokens;	/* 0: no bound given */
-	uint64_t prefix_hash;	/* of the prompt's first part; 0: none */
-	int64_t true_tokens; /* benches only: length known ahead; 0: unknown */
+	int64_t max_tokens;	/* 0: no limit given */
+	uint64_t prefix_hash;	/* hash of the prompt's first part; 0: none */
+	int64_t true_tokens;	/* benches only: known output length; 0: none */
 };
 
 struct request *request_create(enum request_kind kind);
--- a/ports/sink.h
+++ b/ports/sink.h
@@ -6,9 +6,9 @@
 G_BEGIN_DECLS
 
 /*
- * Where an adapter delivers what it was told from outside. Called on the
- * loop's thread, never from inside an adapter's apply function: an adapter
- * that knows a result at once defers it to the loop, because the core is not
+ * Callback by which an adapter delivers events to the core. It is called on the
+ * loop's thread and never from inside an adapter's apply function: an adapter
+ * that has a result at once defers it to the loop, because the core is not
  * re-entrant.
  */
 struct event_sink {
