--- a/daemons/ctl_client.c
+++ b/daemons/ctl_client.c
@@ -3,10 +3,10 @@
 #include <libsoup/soup.h>
 #include <string.h>
 
-#define STEP "ctl.call"
+#define STEP_CALL "ctl.call"
 #define MAX_ANSWER_BYTES ((gsize)64 << 20)
 
-/* Bytes of the request may have left once a connection stands. */
+/* Once a connection is open, bytes of the request may have been sent. */
 static void ctl_client_on_network(SoupMessage *message,
 				  GSocketClientEvent event,
 				  GIOStream *connection, gpointer data)
@@ -71,9 +71,10 @@
 }
 
 /*
- * Calls a node and waits for its whole answer, whatever its status. Returns
- * false and an error where there is none; answer->sent then says whether the
- * node may have got the call. ERROR_INVALID: the address is none.
+ * Calls a node and waits for its complete answer, whatever its status. The
+ * caller frees the answer with ctl_answer_clear(). Returns false and an error
+ * if there is no answer; answer->sent then tells whether the node may have
+ * received the call. ERROR_INVALID means that the address is not valid.
  */
 bool ctl_client_call(const struct ctl_call *call, struct ctl_answer *answer,
 		     struct error *error)
@@ -85,7 +86,7 @@
 
 	*answer = (struct ctl_answer){0};
 	if (!message) {
-		error_set(error, ERROR_INVALID, STEP, call->address,
+		error_set(error, ERROR_INVALID, STEP_CALL, call->address,
 			  "not an address, expected HOST:PORT");
 		return false;
 	}
@@ -97,8 +98,8 @@
 	done = ctl_client_read(session, message, answer, &failure);
 	if (!done) {
 		error_set(error,
-			  answer->sent ? ERROR_CLOSED : ERROR_UNREACHABLE, STEP,
-			  call->address, "%s", failure->message);
+			  answer->sent ? ERROR_CLOSED : ERROR_UNREACHABLE,
+			  STEP_CALL, call->address, "%s", failure->message);
 		g_error_free(failure);
 	}
 	g_object_unref(message);
@@ -106,7 +107,7 @@
 	return done;
 }
 
-/* Frees what an answer holds. */
+/* Frees the contents of an answer. */
 void ctl_answer_clear(struct ctl_answer *answer)
 {
 	g_clear_pointer(&answer->body, g_free);
--- a/daemons/ctl_client.h
+++ b/daemons/ctl_client.h
@@ -9,7 +9,7 @@
 
 G_BEGIN_DECLS
 
-/* One call to a node's HTTP API, waited for. */
+/* One blocking call to a node's HTTP API. */
 struct ctl_call {
 	const char *address;
 	const char *method;
@@ -21,9 +21,9 @@
 };
 
 struct ctl_answer {
-	int32_t status; /* HTTP */
+	int32_t status; /* HTTP status */
 	char *body;
-	bool sent; /* a failed call may have reached the node */
+	bool sent; /* the node may have received the call */
 };
 
 bool ctl_client_call(const struct ctl_call *call, struct ctl_answer *answer,
--- a/daemons/ctl_command.c
+++ b/daemons/ctl_command.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 /*
- * What a node sends goes to an operator's terminal: control characters in a
- * name must not become commands to it.
+ * Prints text from a node with "?" for each control character, which the
+ * operator's terminal could take as a command.
  */
 static void print_text(FILE *out, const char *text)
 {
@@ -159,7 +159,7 @@
 	 .help = "who confirmed what"},
 };
 
-/* The command of this name, or NULL. */
+/* Returns the command with this name, or NULL. */
 const struct ctl_command *ctl_command_find(const char *name)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(commands); i++) {
@@ -169,7 +169,7 @@
 	return NULL;
 }
 
-/* One line for each command. */
+/* Prints one line for each command. */
 void ctl_command_print_list(FILE *out)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(commands); i++)
@@ -178,22 +178,25 @@
 			commands[i].help);
 }
 
-/* The path to ask for, with the argument escaped; the caller frees it. */
+/* Returns the request path with the argument escaped; the caller frees it. */
 char *ctl_command_path(const struct ctl_command *command, const char *argument)
 {
-	const char *mark = strstr(command->path, "%s");
+	const char *placeholder = strstr(command->path, "%s");
 	char *escaped, *path;
 
-	if (!mark)
+	if (!placeholder)
 		return g_strdup(command->path);
 	escaped = g_uri_escape_string(argument, NULL, FALSE);
-	path = g_strdup_printf("%.*s%s%s", (int)(mark - command->path),
-			       command->path, escaped, mark + 2);
+	path = g_strdup_printf("%.*s%s%s", (int)(placeholder - command->path),
+			       command->path, escaped, placeholder + 2);
 	g_free(escaped);
 	return path;
 }
 
-/* The answer as an object, with a parser to be freed; NULL: it is none. */
+/*
+ * Parses an answer; NULL if it is not a JSON object. The parser owns the
+ * result, and the caller releases the parser in either case.
+ */
 static JsonObject *parse_object(const char *body, JsonParser **parser)
 {
 	JsonNode *root;
@@ -206,7 +209,10 @@
 						    : NULL;
 }
 
-/* Shows an answer: for people where the command can, else as JSON. */
+/*
+ * Prints an answer as text if the command has a print function and json is not
+ * set, else as JSON.
+ */
 void ctl_command_print(const struct ctl_command *command, const char *body,
 		       bool json, FILE *out)
 {
@@ -227,11 +233,12 @@
 }
 
 /*
- * The exit status for an answer. A change whose effect the node itself does
- * not know, or does not state, is unknown and never counted as refused.
+ * Returns the exit status for an answer. If the node does not know or does not
+ * state whether a change took effect, the outcome is unknown and never counted
+ * as refused.
  */
-enum ctl_exit ctl_command_judge(const struct ctl_command *command, int status,
-				const char *body)
+enum ctl_exit ctl_command_exit_status(const struct ctl_command *command,
+				      int status, const char *body)
 {
 	JsonParser *parser;
 	JsonObject *answer = parse_object(body, &parser);
@@ -251,8 +258,8 @@
 	return result;
 }
 
-/* One line on why a node refused; the caller frees it. */
-char *ctl_command_refusal(int status, const char *body)
+/* Returns one line with the reason for a refusal; the caller frees it. */
+char *ctl_command_refusal_text(int status, const char *body)
 {
 	JsonParser *parser;
 	JsonObject *answer = parse_object(body, &parser);
--- a/daemons/ctl_command.h
+++ b/daemons/ctl_command.h
@@ -8,22 +8,22 @@
 
 G_BEGIN_DECLS
 
-/* What siskinlinkctl can ask a node: one table, and how answers are shown. */
+/* The commands of siskinlinkctl and how their answers are printed. */
 
 enum ctl_exit {
 	CTL_OK,
 	CTL_REFUSED,
 	CTL_USAGE,
 	CTL_UNREACHABLE,
-	CTL_UNKNOWN /* sent, and whether it took effect is not known */
+	CTL_UNKNOWN /* sent, but whether it took effect is not known */
 };
 
 struct ctl_command {
 	const char *name;
-	const char *argument; /* NULL: takes none */
+	const char *argument; /* its name in the help; NULL: none */
 	const char *method;
-	const char *path; /* %s: the argument, escaped */
-	bool reads_file;  /* the argument names the body */
+	const char *path; /* %s stands for the escaped argument */
+	bool reads_file;  /* the argument is the file with the body */
 	bool needs_key;
 	bool needs_operator;
 	bool may_change; /* a lost answer leaves the outcome unknown */
@@ -36,9 +36,9 @@
 char *ctl_command_path(const struct ctl_command *command, const char *argument);
 void ctl_command_print(const struct ctl_command *command, const char *body,
 		       bool json, FILE *out);
-enum ctl_exit ctl_command_judge(const struct ctl_command *command, int status,
-				const char *body);
-char *ctl_command_refusal(int status, const char *body);
+enum ctl_exit ctl_command_exit_status(const struct ctl_command *command,
+				      int status, const char *body);
+char *ctl_command_refusal_text(int status, const char *body);
 
 G_END_DECLS
 
--- a/daemons/gateway_wiring.c
+++ b/daemons/gateway_wiring.c
@@ -11,13 +11,17 @@
 	struct store_follower *document;
 	struct store_follower *entries;
 	struct log *log;
-	bool has_store; /* else the product's own configuration */
-	bool is_told;	/* of entries, by other nodes that reach the store */
+	bool has_store; /* false: uses the product's own configuration */
+	/* The entries come from other nodes that reach the store. */
+	bool entries_from_nodes;
 };
 
-/* The platform's operators write theirs; else it is the product's own. */
-static struct route_table *wiring_decode(void *data, GBytes *document,
-					 int64_t revision)
+/*
+ * Decodes a configuration in the platform's format if the node has its store,
+ * else in the product's own format.
+ */
+static struct route_table *wiring_decode_table(void *data, GBytes *document,
+					       int64_t revision)
 {
 	struct gateway_wiring *wiring = data;
 	struct route_table *table;
@@ -48,7 +52,8 @@
 
 		if (!item->value || !platform_is_document(item->key))
 			continue;
-		table = wiring_decode(wiring, item->value, item->revision);
+		table = wiring_decode_table(wiring, item->value,
+					    item->revision);
 		if (!table)
 			continue;
 		gateway_take_table(wiring->gateway, table, item->value,
@@ -57,7 +62,10 @@
 	}
 }
 
-/* What can't be read names no endpoint; without a line nobody knew why. */
+/*
+ * Reads the entries of a page. An entry that can't be read names no endpoint
+ * and is logged, so that operators can see why the endpoint is not used.
+ */
 static GPtrArray *read_entries(const struct gateway_wiring *wiring,
 			       const struct store_page *page)
 {
@@ -66,14 +74,14 @@
 	for (guint i = 0; i < page->items->len; i++) {
 		const struct store_item *item =
 			g_ptr_array_index(page->items, i);
-		struct registration *said = platform_read_entry(item);
+		struct registration *record = platform_read_entry(item);
 
-		if (item->value && (!said || said->is_removed))
+		if (item->value && (!record || record->is_removed))
 			log_write(wiring->log, LOG_LEVEL_WARN, "entry_rejected",
-				  "endpoint", said ? said->id : "", "key",
+				  "endpoint", record ? record->id : "", "key",
 				  item->key, NULL);
-		if (said)
-			g_ptr_array_add(list, said);
+		if (record)
+			g_ptr_array_add(list, record);
 	}
 	return list;
 }
@@ -96,31 +104,31 @@
 	g_ptr_array_unref(list);
 }
 
-static void wiring_tell_reached(struct gateway_wiring *wiring)
+static void wiring_update_store_reached(struct gateway_wiring *wiring)
 {
 	if (!wiring->document || !wiring->entries)
 		return;
 	gateway_take_store(
 		wiring->gateway,
 		store_follower_is_reached(wiring->document) &&
-			(wiring->is_told ||
+			(wiring->entries_from_nodes ||
 			 store_follower_is_reached(wiring->entries)));
 }
 
-static void on_reached(void *data, bool is_reached)
+static void on_reached_changed(void *data, bool is_reached)
 {
-	(void)is_reached; /* of one of the two */
-	wiring_tell_reached(data);
+	(void)is_reached; /* holds for one of the two followers only */
+	wiring_update_store_reached(data);
 }
 
-static void on_answered(void *data)
+static void on_store_answered(void *data)
 {
 	const struct gateway_wiring *wiring = data;
 
 	gateway_take_store_answer(wiring->gateway);
 }
 
-static void wiring_read_store(void *data)
+static void wiring_refresh_document(void *data)
 {
 	struct gateway_wiring *wiring = data;
 
@@ -142,13 +150,13 @@
 
 	if (!wiring->entries)
 		return;
-	/* What rests until a store is back has not reached it meanwhile. */
-	wiring->is_told = !watch->entries && !watch->patiently;
+	/* With slow retries the node waits for a store that it lost. */
+	wiring->entries_from_nodes = !watch->entries && !watch->patiently;
 	store_follower_set_active(wiring->entries, watch->entries);
 	store_follower_watch_closely(wiring->entries, watch->closely);
 	store_follower_set_patient(wiring->entries, watch->patiently);
 	store_follower_set_patient(wiring->document, watch->patiently);
-	wiring_tell_reached(wiring);
+	wiring_update_store_reached(wiring);
 }
 
 static bool wiring_create_gateway(struct gateway_wiring *wiring,
@@ -178,8 +186,8 @@
 		.send = options->send,
 		.message = options->message,
 		.members = options->members,
-		.decode = wiring_decode,
-		.read_store = wiring_read_store,
+		.decode = wiring_decode_table,
+		.read_store = wiring_refresh_document,
 		.is_reading = wiring_is_reading,
 		.watch = wiring_watch,
 		.stopped = options->stopped,
@@ -192,10 +200,11 @@
 }
 
 static struct store_follower *
-wiring_follow(struct gateway_wiring *wiring,
-	      const struct gateway_wiring_options *options, const char *prefix,
-	      void (*listed)(void *, const struct store_page *),
-	      void (*changed)(void *, const struct store_page *))
+wiring_create_follower(struct gateway_wiring *wiring,
+		       const struct gateway_wiring_options *options,
+		       const char *prefix,
+		       void (*listed)(void *, const struct store_page *),
+		       void (*changed)(void *, const struct store_page *))
 {
 	const struct store_follower_options follower = {
 		.address = options->settings->gateway.store_address,
@@ -207,15 +216,18 @@
 	const struct store_follower_events events = {
 		.listed = listed,
 		.changed = changed,
-		.reached = on_reached,
-		.answered = on_answered,
+		.reached = on_reached_changed,
+		.answered = on_store_answered,
 		.data = wiring,
 	};
 
 	return store_follower_create(&follower, &events);
 }
 
-/* Opens the gateway and begins to follow the store; NULL and an error. */
+/*
+ * Opens the gateway and begins to follow the store. Returns NULL and an error
+ * if the gateway can't be opened. The caller owns the result.
+ */
 struct gateway_wiring *
 gateway_wiring_create(const struct gateway_wiring_options *options,
 		      struct error *error)
@@ -232,16 +244,19 @@
 		gateway_take_store(wiring->gateway, true);
 		return wiring;
 	}
-	wiring->document =
-		wiring_follow(wiring, options, platform_document_prefix,
-			      on_document_page, on_document_page);
+	wiring->document = wiring_create_follower(
+		wiring, options, platform_document_prefix, on_document_page,
+		on_document_page);
 	wiring->entries =
-		wiring_follow(wiring, options, platform_entries_prefix,
-			      on_entries_listed, on_entries_changed);
+		wiring_create_follower(wiring, options, platform_entries_prefix,
+				       on_entries_listed, on_entries_changed);
 	return wiring;
 }
 
-/* The key-value service of a node that has the platform's store for it. */
+/*
+ * Opens the platform's store as the key-value service of a node. The caller
+ * owns the result.
+ */
 struct store_calls *gateway_wiring_open_store(const struct settings *settings,
 					      struct log *log, uint64_t seed,
 					      const struct event_sink *sink)
@@ -257,7 +272,7 @@
 	return store_calls_create(&options, sink);
 }
 
-/* Closes everything; NULL is allowed. */
+/* Closes the gateway and the store followers. NULL is allowed. */
 void gateway_wiring_destroy(struct gateway_wiring *wiring)
 {
 	if (!wiring)
@@ -268,8 +283,11 @@
 	g_free(wiring);
 }
 
-/* Endpoints of the own configuration are known by their addresses. */
-static GPtrArray *endpoints_of(const struct config *config)
+/*
+ * Lists the endpoints of the product's own configuration, with their addresses
+ * as ids.
+ */
+static GPtrArray *list_endpoints(const struct config *config)
 {
 	GPtrArray *list = registration_list_create();
 
@@ -280,31 +298,31 @@
 		for (guint k = 0; k < service->endpoints->len; k++) {
 			const struct config_endpoint *endpoint =
 				g_ptr_array_index(service->endpoints, k);
-			struct registration *said =
+			struct registration *record =
 				g_new0(struct registration, 1);
 
-			said->id = g_strdup(endpoint->address);
-			said->service = g_strdup(service->name);
-			said->address = g_strdup(endpoint->address);
-			said->failure_domain =
+			record->id = g_strdup(endpoint->address);
+			record->service = g_strdup(service->name);
+			record->address = g_strdup(endpoint->address);
+			record->failure_domain =
 				g_strdup(endpoint->failure_domain);
-			said->revision = config->revision;
-			said->slots = service->engine.slots
-					      ? service->engine.slots
-					      : endpoint->slots;
-			said->is_leaving = endpoint->leaving;
-			g_ptr_array_add(list, said);
+			record->revision = config->revision;
+			record->slots = service->engine.slots
+						? service->engine.slots
+						: endpoint->slots;
+			record->is_leaving = endpoint->leaving;
+			g_ptr_array_add(list, record);
 		}
 	}
 	return list;
 }
 
 /*
- * The product's own configuration is in force: its routes and endpoints are
- * the gateway's, unless it takes both from the platform.
+ * Applies the routes and endpoints of the product's own configuration in force
+ * to the gateway. Does nothing if the gateway reads both from the platform.
  */
-void gateway_wiring_take_config(struct gateway_wiring *wiring,
-				const struct action_config *action)
+void gateway_wiring_apply_config(struct gateway_wiring *wiring,
+				 const struct action_config *action)
 {
 	struct config *config;
 	struct route_table *table;
@@ -314,9 +332,9 @@
 		return;
 	config = config_json_parse(action->document, action->revision, NULL);
 	if (!config)
-		return; /* the node has said why when it read it */
+		return; /* the node logged the reason when it read it */
 	table = route_table_create(config);
-	list = endpoints_of(config);
+	list = list_endpoints(config);
 	gateway_take_table(wiring->gateway, table, action->document, "plan");
 	gateway_take_registrations(wiring->gateway, list, config->revision);
 	g_ptr_array_unref(list);
@@ -324,14 +342,14 @@
 	config_unref(config);
 }
 
-/* A record of another node's gateway. */
-void gateway_wiring_take_peer(struct gateway_wiring *wiring,
-			      const struct peer_message *message)
+/* Hands the gateway a message of another node's gateway. */
+void gateway_wiring_receive_peer(struct gateway_wiring *wiring,
+				 const struct peer_message *message)
 {
 	gateway_take_peer(wiring->gateway, message);
 }
 
-/* Takes over what a running gateway can change: times and retries. */
+/* Applies the settings that a running gateway can change: times and retries. */
 void gateway_wiring_reload(struct gateway_wiring *wiring,
 			   const struct gateway_settings *settings)
 {
@@ -340,7 +358,7 @@
 			   settings->retry_extra);
 }
 
-/* Begins to stop; the stopped callback says when it is done. */
+/* Begins to drain the gateway; the stopped callback is called at the end. */
 void gateway_wiring_drain(struct gateway_wiring *wiring)
 {
 	gateway_drain(wiring->gateway);
--- a/daemons/gateway_wiring.h
+++ b/daemons/gateway_wiring.h
@@ -14,7 +14,7 @@
 
 G_BEGIN_DECLS
 
-/* The gateway, with the platform on one side and the node on the other. */
+/* Connects the gateway to the platform's store and to the node it runs in. */
 struct gateway_wiring_options {
 	const struct settings *settings;
 	int64_t max_connections;
@@ -24,7 +24,7 @@
 	const struct membership *(*members)(void *data);
 	struct peer_message *(*message)(void *data,
 					enum peer_message_type type);
-	/* To all of the addresses, char *; the message is its own then. */
+	/* Sends to all addresses (char *) and owns the message then. */
 	void (*send)(void *data, const GPtrArray *peer_addresses,
 		     struct peer_message *message);
 	void (*stopped)(void *data);
@@ -40,10 +40,10 @@
 					      struct log *log, uint64_t seed,
 					      const struct event_sink *sink);
 void gateway_wiring_destroy(struct gateway_wiring *wiring);
-void gateway_wiring_take_config(struct gateway_wiring *wiring,
-				const struct action_config *action);
-void gateway_wiring_take_peer(struct gateway_wiring *wiring,
-			      const struct peer_message *message);
+void gateway_wiring_apply_config(struct gateway_wiring *wiring,
+				 const struct action_config *action);
+void gateway_wiring_receive_peer(struct gateway_wiring *wiring,
+				 const struct peer_message *message);
 void gateway_wiring_reload(struct gateway_wiring *wiring,
 			   const struct gateway_settings *settings);
 void gateway_wiring_drain(struct gateway_wiring *wiring);
--- a/daemons/node_loop.c
+++ b/daemons/node_loop.c
@@ -9,8 +9,8 @@
 #include <sys/stat.h>
 
 #define FLUSH_CHECK_MS 10
-#define FLUSH_US 10000000 /* for answers that their callers still read */
-#define EXIT_CUT 1
+#define MAX_FLUSH_US 10000000 /* for callers to read their answers */
+#define EXIT_ABORTED 1
 #define FILE_CHECK_S 2
 
 static void apply_http(struct node_loop *loop, const struct action *action)
@@ -28,7 +28,7 @@
 	peer_link_apply(loop->peers, action);
 }
 
-/* Without the service its answers never come, which the node is used to. */
+/* Without a key-value service no answer comes, which the node handles. */
 static void apply_kv(struct node_loop *loop, const struct action *action)
 {
 	if (loop->kv)
@@ -40,7 +40,7 @@
 static void apply_config(struct node_loop *loop, const struct action *action)
 {
 	if (loop->gateway)
-		gateway_wiring_take_config(loop->gateway, &action->config);
+		gateway_wiring_apply_config(loop->gateway, &action->config);
 }
 
 static void apply_order(struct node_loop *loop, const struct action *action)
@@ -66,15 +66,15 @@
 }
 
 /*
- * The core is done, but the last bytes of an answer may still wait for their
- * socket: ending now would cut them off.
+ * The core has stopped, but the last bytes of an answer may still be unsent:
+ * if the process ended now, they would be lost.
  */
 static void apply_stopped(struct node_loop *loop, const struct action *action)
 {
 	(void)action;
 	if (loop->flush_source)
 		return;
-	loop->flush_until_us = g_get_monotonic_time() + FLUSH_US;
+	loop->flush_until_us = g_get_monotonic_time() + MAX_FLUSH_US;
 	loop->flush_source = g_timeout_add(FLUSH_CHECK_MS, loop_flush, loop);
 }
 
@@ -113,9 +113,9 @@
 }
 
 /*
- * The core's time starts at the wall clock and then runs with the monotonic
- * one: ids carry it from node to node, and a clock that is set back must not
- * make it fall.
+ * The core's time starts at the wall clock, because ids carry it from node to
+ * node, and advances with the monotonic clock, so that it never goes back when
+ * the wall clock is set back.
  */
 static int64_t loop_now_us(const struct node_loop *loop)
 {
@@ -132,8 +132,9 @@
 }
 
 /*
- * One step of the core and all it asks for. An adapter that delivered from
- * inside its apply function would change the list that is being carried out.
+ * Runs one step of the core and applies its actions. Adapters must not deliver
+ * an event from their apply function: that would change the list of actions
+ * while it is applied.
  */
 static void loop_step(struct node_loop *loop, const struct event *event)
 {
@@ -145,7 +146,7 @@
 	loop_set_timer(loop);
 }
 
-static bool event_is_gateway(const struct event *event)
+static bool event_is_for_gateway(const struct event *event)
 {
 	return event->type == EVENT_PEER &&
 	       (event->peer->type == PEER_STANDING ||
@@ -156,13 +157,13 @@
 		event->peer->type == PEER_QUARANTINE);
 }
 
-/* What an adapter has to tell: to the gateway, or a step of the core. */
+/* Delivers an adapter's event to the gateway, or to the core as a step. */
 void node_loop_deliver(void *data, const struct event *event)
 {
 	struct node_loop *loop = data;
 
-	if (loop->gateway && event_is_gateway(event)) {
-		gateway_wiring_take_peer(loop->gateway, event->peer);
+	if (loop->gateway && event_is_for_gateway(event)) {
+		gateway_wiring_receive_peer(loop->gateway, event->peer);
 		return;
 	}
 	loop_step(loop, event);
@@ -182,7 +183,7 @@
 	.dispatch = loop_timer,
 };
 
-/* What wakes the core when something of its is due. */
+/* Creates the timer that runs a step of the core when one is due. */
 void node_loop_create_timer(struct node_loop *loop)
 {
 	loop->timer = g_source_new(&timer_functions, sizeof(GSource));
@@ -196,7 +197,7 @@
 	struct event event = {.type = EVENT_SHUTDOWN};
 
 	if (loop->stopping) {
-		loop->exit_status = EXIT_CUT;
+		loop->exit_status = EXIT_ABORTED;
 		g_main_loop_quit(loop->main);
 		return G_SOURCE_CONTINUE;
 	}
@@ -210,7 +211,7 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* The gateway has answered all it could: the node behind it may end. */
+/* Ends the loop: the gateway has drained, so the node may stop. */
 void node_loop_gateway_stopped(void *data)
 {
 	g_main_loop_quit(((struct node_loop *)data)->main);
@@ -229,8 +230,8 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* The level that the settings name. */
-enum log_level node_loop_level(const char *name)
+/* Returns the log level with this name; LOG_LEVEL_INFO for any other name. */
+enum log_level node_loop_parse_level(const char *name)
 {
 	if (g_str_equal(name, "error"))
 		return LOG_LEVEL_ERROR;
@@ -239,7 +240,7 @@
 	return LOG_LEVEL_INFO;
 }
 
-/* When the file was last written; 0 if it isn't there. */
+/* Returns the time of the file's last change in us; 0 if it has no status. */
 int64_t node_loop_file_changed_us(const char *path)
 {
 	struct stat status;
@@ -251,8 +252,8 @@
 }
 
 /*
- * The settings may change under a running process. What can be taken over
- * without a restart is; a file that can't be used changes nothing.
+ * Reads the settings again and applies those that can change without a restart.
+ * A file with an error changes nothing.
  */
 static void loop_reload(struct node_loop *loop)
 {
@@ -264,7 +265,7 @@
 				&error);
 		return;
 	}
-	log_set_level(loop->log, node_loop_level(settings->log_level));
+	log_set_level(loop->log, node_loop_parse_level(settings->log_level));
 	if (loop->gateway)
 		gateway_wiring_reload(loop->gateway, &settings->gateway);
 	log_write(loop->log, LOG_LEVEL_INFO, "reload", "file",
@@ -278,7 +279,7 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* The file may change without a signal as well. */
+/* Reloads the settings when their file has changed, without a SIGHUP. */
 static gboolean loop_check_file(gpointer data)
 {
 	struct node_loop *loop = data;
@@ -311,7 +312,10 @@
 	loop_set_timer(loop);
 }
 
-/* Runs until the node has drained; the exit status of the process. */
+/*
+ * Runs until the node has drained or a second SIGTERM or SIGINT arrives.
+ * Returns the exit status of the process.
+ */
 int node_loop_run(struct node_loop *loop)
 {
 	loop_watch_signals(loop);
--- a/daemons/node_loop.h
+++ b/daemons/node_loop.h
@@ -8,9 +8,7 @@
 
 G_BEGIN_DECLS
 
-/*
- * One node as a process: the core, its adapters and the loop between them.
- */
+/* One node as a process: the core, its adapters and the event loop. */
 struct node_loop;
 
 struct node_loop *node_loop_create(const struct settings *settings,
--- a/daemons/node_loop_create.c
+++ b/daemons/node_loop_create.c
@@ -6,22 +6,25 @@
 
 #define LOAD_TIMEOUT_MS 1000
 #define VM_LIST_TIMEOUT_MS 2000
-#define FILES_PER_CONNECTION 2 /* the caller's and its endpoint's */
-#define FILES_BESIDE 256       /* peers, platform, load polls */
+#define FILES_PER_CONNECTION 2 /* one to the caller, one to the endpoint */
+#define RESERVED_FILES 256     /* peers, platform, load polls */
 
 static bool random_read(uint64_t *number, struct error *error)
 {
 	if (getrandom(number, sizeof(*number), 0) == sizeof(*number))
 		return true;
 	error_set(error, ERROR_INTERNAL, "loop.random", NULL,
-		  "the system gives no random numbers");
+		  "cannot read random bytes");
 	return false;
 }
 
-/* Connections of callers: fewer where the files allowed don't suffice. */
+/*
+ * Returns max_connections, or fewer if max_open_files does not suffice for
+ * them. A max_open_files of 0 sets no limit.
+ */
 static int64_t loop_max_connections(const struct settings *settings)
 {
-	int64_t files = settings->max_open_files - 2 * FILES_BESIDE;
+	int64_t files = settings->max_open_files - 2 * RESERVED_FILES;
 
 	if (settings->max_open_files == 0)
 		return settings->max_connections;
@@ -30,15 +33,15 @@
 }
 
 /*
- * Out of descriptors, the listener would fail on each connection and try again
- * at once, and calls that are running would fail for want of a connection to
- * their endpoint. The limit on connections holds before that.
+ * Raises the limit on open files so that the limit on connections is reached
+ * first. Without free descriptors the listener would fail on each connection
+ * and retry at once, and running calls could not connect to their endpoints.
  */
-static bool loop_allow_files(const struct settings *settings,
-			     struct error *error)
+static bool loop_raise_file_limit(const struct settings *settings,
+				  struct error *error)
 {
 	int64_t needed = loop_max_connections(settings) * FILES_PER_CONNECTION +
-			 FILES_BESIDE;
+			 RESERVED_FILES;
 	struct rlimit limit = {0};
 
 	getrlimit(RLIMIT_NOFILE, &limit);
@@ -67,7 +70,10 @@
 	    !random_read(&options.seed, error))
 		return false;
 	if (!*options.event_key) {
-		/* Streams of the node's own interface resume here only then. */
+		/*
+		 * With a key of its own, only this node can resume the
+		 * streams of its API.
+		 */
 		g_snprintf(key, sizeof(key), "%016" G_GINT64_MODIFIER "x",
 			   options.seed);
 		options.event_key = key;
@@ -204,7 +210,10 @@
 	return loop->gateway != NULL;
 }
 
-/* Takes the addresses of the settings; NULL with the reason if it cannot. */
+/*
+ * Creates a node and listens on the addresses of the settings. Returns NULL and
+ * an error if it can't. The caller owns the result.
+ */
 struct node_loop *node_loop_create(const struct settings *settings,
 				   const char *config_path, struct error *error)
 {
@@ -217,9 +226,9 @@
 	loop->clock_offset_us = g_get_real_time() - g_get_monotonic_time();
 	loop->actions = action_list_create();
 	loop->log = log_create(settings->node.name,
-			       node_loop_level(settings->log_level));
+			       node_loop_parse_level(settings->log_level));
 	node_loop_create_timer(loop);
-	if (!loop_allow_files(settings, error) ||
+	if (!loop_raise_file_limit(settings, error) ||
 	    !loop_create_node(loop, settings, error) ||
 	    !loop_create_http(loop, settings, &sink, error) ||
 	    !loop_create_peers(loop, settings, &sink, error) ||
--- a/daemons/node_loop_state.h
+++ b/daemons/node_loop_state.h
@@ -20,8 +20,9 @@
 G_BEGIN_DECLS
 
 /*
- * What the parts of the loop share. node_loop.c: events in, actions out,
- * signals. node_loop_create.c: the adapters, by the settings.
+ * State shared by the sources of the loop: node_loop.c delivers events, applies
+ * actions and handles signals, node_loop_create.c creates the adapters from the
+ * settings.
  */
 struct node_loop {
 	GMainLoop *main;
@@ -30,16 +31,16 @@
 	struct http_server *http;
 	struct endpoint_client *endpoints;
 	struct order_client *orders;
-	struct kv_client *kv;	   /* NULL: none of its own */
-	struct store_calls *store; /* the platform's instead; NULL: none */
+	struct kv_client *kv;	   /* NULL: not configured */
+	struct store_calls *store; /* the platform's, used if kv is NULL */
 	struct peer_link *peers;
 	struct vm_list_client *vm_list;
 	struct gateway_wiring *gateway; /* NULL: none */
 	struct action_list *actions;
 	GSource *timer;
-	int64_t clock_offset_us; /* the core's time less the monotonic clock */
+	int64_t clock_offset_us; /* core time minus monotonic time */
 	bool stepping;
-	bool stopping; /* a first SIGTERM has come */
+	bool stopping; /* SIGTERM or SIGINT was received */
 	int64_t flush_until_us;
 	guint flush_source;
 	guint signal_sources[4];
@@ -53,7 +54,7 @@
 void node_loop_deliver(void *data, const struct event *event);
 void node_loop_gateway_stopped(void *data);
 void node_loop_create_timer(struct node_loop *loop);
-enum log_level node_loop_level(const char *name);
+enum log_level node_loop_parse_level(const char *name);
 int64_t node_loop_file_changed_us(const char *path);
 
 G_END_DECLS
--- a/daemons/siskinlinkctl.c
+++ b/daemons/siskinlinkctl.c
@@ -64,7 +64,10 @@
 	return CTL_USAGE;
 }
 
-/* The key, NULL where none is set, or an error in *status. */
+/*
+ * Returns the key, which the caller frees; NULL if none is set, or on an error,
+ * which sets *status.
+ */
 static char *read_key(const struct arguments *arguments, enum ctl_exit *status)
 {
 	GError *failure = NULL;
@@ -89,11 +92,14 @@
 	return text;
 }
 
-/* A file, or standard input for "-"; NULL after saying why. */
+/*
+ * Reads a file, or standard input for "-". The caller frees the text. On an
+ * error prints it and returns NULL.
+ */
 static char *read_text(const char *path)
 {
-	bool standard = strcmp(path, "-") == 0;
-	FILE *stream = standard ? stdin : g_fopen(path, "r");
+	bool is_stdin = strcmp(path, "-") == 0;
+	FILE *stream = is_stdin ? stdin : g_fopen(path, "r");
 	size_t size = 0;
 	char *text;
 
@@ -102,7 +108,7 @@
 		return NULL;
 	}
 	text = read_stream(stream, &size);
-	if (!standard)
+	if (!is_stdin)
 		fclose(stream);
 	if (size > MAX_FILE_BYTES || strlen(text) != size) {
 		usage_fail("%s is not a text of at most 8 MB", path);
@@ -111,7 +117,10 @@
 	return text;
 }
 
-/* An intent as JSON: given so, or in TOML. NULL after saying why. */
+/*
+ * Reads an intent in JSON or TOML and returns it as JSON, which the caller
+ * frees. On an error prints it and returns NULL.
+ */
 static char *read_intent(const char *path)
 {
 	char *text = read_text(path);
@@ -127,12 +136,12 @@
 	return json;
 }
 
-static enum ctl_exit command_finish(const struct arguments *arguments,
-				    const struct ctl_answer *answer)
+static enum ctl_exit command_handle_answer(const struct arguments *arguments,
+					   const struct ctl_answer *answer)
 {
 	const struct ctl_command *command = arguments->command;
 	enum ctl_exit status =
-		ctl_command_judge(command, answer->status, answer->body);
+		ctl_command_exit_status(command, answer->status, answer->body);
 	char *reason;
 
 	if (status == CTL_OK) {
@@ -142,7 +151,7 @@
 	}
 	if (arguments->json)
 		ctl_command_print(command, answer->body, true, stdout);
-	reason = ctl_command_refusal(answer->status, answer->body);
+	reason = ctl_command_refusal_text(answer->status, answer->body);
 	fprintf(stderr, "siskinlinkctl: %s%s\n", reason,
 		status == CTL_UNKNOWN
 			? "; whether it took effect is not known, ask again "
@@ -172,7 +181,7 @@
 	enum ctl_exit status;
 
 	if (ctl_client_call(&call, &answer, &error)) {
-		status = command_finish(arguments, &answer);
+		status = command_handle_answer(arguments, &answer);
 	} else {
 		status = error.code == ERROR_INVALID	      ? CTL_USAGE
 			 : answer.sent && command->may_change ? CTL_UNKNOWN
@@ -218,8 +227,8 @@
 	return status;
 }
 
-static enum ctl_exit take_words(poptContext context,
-				struct arguments *arguments)
+static enum ctl_exit arguments_parse_command(poptContext context,
+					     struct arguments *arguments)
 {
 	const char *name = poptGetArg(context);
 	const struct ctl_command *command;
@@ -277,7 +286,7 @@
 	}
 	if (!arguments->address)
 		arguments->address = strdup(DEFAULT_ADDRESS);
-	status = take_words(context, arguments);
+	status = arguments_parse_command(context, arguments);
 	return status == CTL_OK ? command_run(arguments) : status;
 }
 
--- a/daemons/siskinlinkd.c
+++ b/daemons/siskinlinkd.c
@@ -18,10 +18,11 @@
 	int check_config;
 };
 
-static int usage_fail(poptContext context, const char *what, const char *word)
+static int usage_fail(poptContext context, const char *what,
+		      const char *argument)
 {
-	fprintf(stderr, "siskinlinkd: %s%s%s\n", what, word ? ": " : "",
-		word ? word : "");
+	fprintf(stderr, "siskinlinkd: %s%s%s\n", what, argument ? ": " : "",
+		argument ? argument : "");
 	poptPrintUsage(context, stderr, 0);
 	return EXIT_USAGE;
 }
@@ -59,7 +60,7 @@
 
 static int arguments_run(poptContext context, struct arguments *arguments)
 {
-	const char *word;
+	const char *argument;
 	int option;
 
 	while ((option = poptGetNextOpt(context)) > 0) {
@@ -75,9 +76,9 @@
 	if (option < -1)
 		return usage_fail(context, poptStrerror(option),
 				  poptBadOption(context, 0));
-	word = poptGetArg(context);
-	if (word)
-		return usage_fail(context, "unexpected argument", word);
+	argument = poptGetArg(context);
+	if (argument)
+		return usage_fail(context, "unexpected argument", argument);
 	if (!arguments->config)
 		return usage_fail(context, "--config FILE is needed", NULL);
 	return node_run(arguments);
--- a/tests/ctl_test.cc
+++ b/tests/ctl_test.cc
@@ -17,8 +17,8 @@
 	std::string err;
 };
 
-/* Runs siskinlinkctl with these words and no key in the environment. */
-static Outcome ctl(const std::vector<std::string> &words, const char *key)
+/* Runs siskinlinkctl with these arguments; without a key if key is null. */
+static Outcome ctl(const std::vector<std::string> &arguments, const char *key)
 {
 	const char *folder = getenv("SISKINLINK_BIN");
 	std::string program =
@@ -29,8 +29,8 @@
 	GError *failure = nullptr;
 	int status = -1;
 
-	for (const std::string &word : words)
-		args.push_back((char *)word.c_str());
+	for (const std::string &argument : arguments)
+		args.push_back((char *)argument.c_str());
 	args.push_back(nullptr);
 	if (key)
 		environment = g_environ_setenv(
@@ -79,8 +79,8 @@
 	EXPECT_EQ(CTL_OK, ctl({"--help"}, nullptr).status);
 }
 
-/* A listening socket that answers nothing; its address. */
-static int listen_silently(std::string *address)
+/* Opens a listening socket that never answers and stores its address. */
+static int listen_without_answering(std::string *address)
 {
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 	struct sockaddr_in name = {};
@@ -96,14 +96,15 @@
 }
 
 /*
- * The node takes the confirmation and falls silent. The operator must not be
- * told that it failed: it may be in force. Where no connection stood, nothing
- * was sent, and a question that changes nothing is only unanswered.
+ * The node receives a confirm request and never answers. The exit status must
+ * not be that of a failure, because the plan may be in force. Without a
+ * connection nothing was sent, and a command that changes nothing has no
+ * unknown outcome; both count as unreachable.
  */
 TEST(Ctl, TellsALostAnswerFromANodeNotReached)
 {
 	std::string address;
-	int fd = listen_silently(&address);
+	int fd = listen_without_answering(&address);
 	Outcome lost =
 		ctl({"-a", address, "-t", "1", "-o", "amina", "confirm", "p1"},
 		    "k");
@@ -125,24 +126,25 @@
 	const struct ctl_command *confirm = ctl_command_find("confirm");
 	const struct ctl_command *show = ctl_command_find("show");
 
-	EXPECT_EQ(CTL_OK,
-		  ctl_command_judge(confirm, 200, "{\"took_effect\":\"yes\"}"));
+	EXPECT_EQ(CTL_OK, ctl_command_exit_status(confirm, 200,
+						  "{\"took_effect\":\"yes\"}"));
 	EXPECT_EQ(CTL_REFUSED,
-		  ctl_command_judge(confirm, 409, "{\"took_effect\":\"no\"}"));
+		  ctl_command_exit_status(confirm, 409,
+					  "{\"took_effect\":\"no\"}"));
 	EXPECT_EQ(CTL_UNKNOWN,
-		  ctl_command_judge(confirm, 504,
-				    "{\"took_effect\":\"unknown\"}"));
-	EXPECT_EQ(CTL_UNKNOWN, ctl_command_judge(confirm, 502, "<html>"));
-	EXPECT_EQ(CTL_UNKNOWN, ctl_command_judge(confirm, 200, "{"));
-	EXPECT_EQ(CTL_REFUSED, ctl_command_judge(confirm, 401, "{}"));
-	EXPECT_EQ(CTL_REFUSED, ctl_command_judge(show, 503, "{}"));
-	EXPECT_EQ(CTL_OK, ctl_command_judge(show, 200, "[1]"));
+		  ctl_command_exit_status(confirm, 504,
+					  "{\"took_effect\":\"unknown\"}"));
+	EXPECT_EQ(CTL_UNKNOWN, ctl_command_exit_status(confirm, 502, "<html>"));
+	EXPECT_EQ(CTL_UNKNOWN, ctl_command_exit_status(confirm, 200, "{"));
+	EXPECT_EQ(CTL_REFUSED, ctl_command_exit_status(confirm, 401, "{}"));
+	EXPECT_EQ(CTL_REFUSED, ctl_command_exit_status(show, 503, "{}"));
+	EXPECT_EQ(CTL_OK, ctl_command_exit_status(show, 200, "[1]"));
 }
 
 TEST(Ctl, EscapesPlanIdsAndRefusals)
 {
 	char *path = ctl_command_path(ctl_command_find("confirm"), "a/b c");
-	char *text = ctl_command_refusal(
+	char *text = ctl_command_refusal_text(
 		409,
 		"{\"error\":{\"code\":\"x\",\"message\":\"a\\u001b[2J\"}}");
 
@@ -150,7 +152,7 @@
 	EXPECT_STREQ("x: a?[2J", text);
 	g_free(path);
 	g_free(text);
-	text = ctl_command_refusal(500, "{\"error\":{\"code\":7}}");
+	text = ctl_command_refusal_text(500, "{\"error\":{\"code\":7}}");
 	EXPECT_STREQ(": ", text);
 	g_free(text);
 }
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -17,14 +17,14 @@
 				       const char *key = "servers/i-1")
 {
 	struct store_item item = {};
-	struct registration *said;
+	struct registration *record;
 
 	item.key = const_cast<char *>(key);
 	item.value = bytes_of(value);
 	item.revision = 9;
-	said = platform_read_entry(&item);
+	record = platform_read_entry(&item);
 	g_bytes_unref(item.value);
-	return said;
+	return record;
 }
 
 static const char entry[] =
@@ -35,21 +35,21 @@
 
 TEST(Platform, ReadsAnEntry)
 {
-	struct registration *said = read_entry(entry);
-
-	ASSERT_NE(nullptr, said);
-	EXPECT_FALSE(said->is_removed);
-	EXPECT_STREQ("i-1", said->id);
-	EXPECT_STREQ("10.0.0.1:8080", said->address);
-	EXPECT_EQ(1780000000000, said->started_ms);
-	EXPECT_EQ(250000, said->warmup_left_us);
-	EXPECT_EQ(9, said->revision);
-	registration_destroy(said);
+	struct registration *record = read_entry(entry);
+
+	ASSERT_NE(nullptr, record);
+	EXPECT_FALSE(record->is_removed);
+	EXPECT_STREQ("i-1", record->id);
+	EXPECT_STREQ("10.0.0.1:8080", record->address);
+	EXPECT_EQ(1780000000000, record->started_ms);
+	EXPECT_EQ(250000, record->warmup_left_us);
+	EXPECT_EQ(9, record->revision);
+	registration_destroy(record);
 }
 
 /*
- * Another writer puts entries that can't be used. Each names no endpoint, and
- * none keeps the others from being read.
+ * Another program writes entries that can't be used. Each must read as removed
+ * and must not prevent the others from being read.
  */
 TEST(Platform, ReadsAnUnusableEntryAsNone)
 {
@@ -70,11 +70,11 @@
 	};
 
 	for (const std::string &value : bad) {
-		struct registration *said = read_entry(value);
+		struct registration *record = read_entry(value);
 
-		ASSERT_NE(nullptr, said) << value;
-		EXPECT_TRUE(said->is_removed) << value;
-		registration_destroy(said);
+		ASSERT_NE(nullptr, record) << value;
+		EXPECT_TRUE(record->is_removed) << value;
+		registration_destroy(record);
 	}
 	EXPECT_EQ(nullptr, read_entry(entry, "servers/"));
 	EXPECT_EQ(nullptr, read_entry(entry, "other/i-1"));
@@ -133,7 +133,7 @@
 					 "\"routes\":[{}]}"));
 }
 
-/* An operator's mistake is found by where it stands. */
+/* The error names the place of an operator's mistake. */
 TEST(Platform, SaysWhatItCannotReadInAConfiguration)
 {
 	const char *const cases[][2] = {
@@ -201,7 +201,7 @@
 	http_head_destroy(head);
 }
 
-/* Nothing that is the system's to set reaches an engine as a caller sent it. */
+/* Fields that only the system may set never reach an engine from a caller. */
 TEST(Platform, WritesWhatAnEngineIsTold)
 {
 	struct http_head *head = caller_head("9c41");
@@ -241,8 +241,9 @@
 }
 
 /*
- * A caller's id may hold any visible character. An engine that leaves must
- * still be asked for the copy of that run, and only for the one meant.
+ * A caller's id may contain any visible character. Unescaped, it would make the
+ * request to a leaving engine for a copy of the run invalid, or name another
+ * run or target.
  */
 TEST(Platform, WritesAMoveOfAnyId)
 {
@@ -290,44 +291,44 @@
 }
 
 /*
- * A service that has run a request may answer 421 for reasons of its own. Taken
- * for "did not run", a request that may run once is sent to the next endpoint
- * and runs there, too. Only the endpoint's explicit word counts.
+ * A service that has run a request may answer 421 for reasons of its own. If
+ * that counted as "did not run", a request that may run only once would be sent
+ * to the next endpoint and run there, too. Only the explicit field counts.
  */
 TEST(Platform, ReadsNotRunOnlyFromTheWordForIt)
 {
-	static const char word[] = "X-Siskinlink-Not-Executed";
+	static const char field[] = "X-Siskinlink-Not-Executed";
 	struct http_head *head = http_head_create();
-	struct endpoint_answer said = {};
+	struct endpoint_answer answer = {};
 
 	head->status = 421;
-	platform_dialect.read_answer(head, &said);
-	EXPECT_FALSE(said.did_not_run);
-	http_head_add(head, word, strlen(word), "1", 1);
-	platform_dialect.read_answer(head, &said);
-	EXPECT_TRUE(said.did_not_run);
+	platform_dialect.read_answer(head, &answer);
+	EXPECT_FALSE(answer.did_not_run);
+	http_head_add(head, field, strlen(field), "1", 1);
+	platform_dialect.read_answer(head, &answer);
+	EXPECT_TRUE(answer.did_not_run);
 	http_head_destroy(head);
 }
 
 /*
- * A status that tells callers that nothing ran, from an endpoint that may have
- * run: passed on, it has the caller send its request again. It is told apart
- * from the endpoint's word, which comes in a field of its own.
+ * Some statuses tell callers that nothing ran. If one comes from an endpoint
+ * that may have run the request and is forwarded, the caller sends the request
+ * again. Such a status is distinct from the explicit field of an endpoint.
  */
 TEST(Platform, KnowsWhichStatusesPromiseThatNothingRan)
 {
-	struct endpoint_answer said = {};
+	struct endpoint_answer answer = {};
 
 	for (int32_t status : {200, 400, 404, 408, 421, 429, 500, 503, 504}) {
 		struct http_head *head = http_head_create();
 
 		head->status = status;
-		platform_dialect.read_answer(head, &said);
+		platform_dialect.read_answer(head, &answer);
 		EXPECT_EQ(status == 408 || status == 421 || status == 429 ||
 				  status == 503,
-			  said.promises_not_run)
+			  answer.promises_not_run)
 			<< status;
-		EXPECT_FALSE(said.did_not_run) << status;
+		EXPECT_FALSE(answer.did_not_run) << status;
 		http_head_destroy(head);
 	}
 }
--- a/tests/siskinlinkd_test.cc
+++ b/tests/siskinlinkd_test.cc
@@ -9,11 +9,11 @@
 #include <cstdlib>
 #include <memory>
 
-/* siskinlinkd in a process of its own, ended when the test ends. */
+/* siskinlinkd in a child process, which the destructor kills. */
 class Daemon
 {
       public:
-	explicit Daemon(const std::vector<std::string> &words,
+	explicit Daemon(const std::vector<std::string> &arguments,
 			GSpawnChildSetupFunc setup = nullptr)
 	{
 		const char *folder = getenv("SISKINLINK_BIN");
@@ -23,8 +23,8 @@
 		std::vector<char *> args = {(char *)program.c_str()};
 		GError *failure = nullptr;
 
-		for (const std::string &word : words)
-			args.push_back((char *)word.c_str());
+		for (const std::string &argument : arguments)
+			args.push_back((char *)argument.c_str());
 		args.push_back(nullptr);
 		g_spawn_async_with_pipes(nullptr, args.data(), nullptr,
 					 G_SPAWN_DO_NOT_REAP_CHILD, setup,
@@ -110,7 +110,7 @@
 		unlink(file.c_str());
 	}
 
-	/* Free when it was asked for: nothing else here takes ports. */
+	/* The address stays free, since nothing else here opens ports. */
 	static std::string free_address()
 	{
 		return Listener().address();
@@ -136,7 +136,7 @@
 TEST_F(Siskinlinkd, NamesWhatIsWrongWithItsUse)
 {
 	const struct {
-		std::vector<std::string> words;
+		std::vector<std::string> arguments;
 		int status;
 		const char *text;
 	} uses[] = {
@@ -150,7 +150,7 @@
 	};
 
 	for (const auto &use : uses) {
-		Daemon daemon(use.words);
+		Daemon daemon(use.arguments);
 
 		EXPECT_EQ(use.status, daemon.wait_end());
 		EXPECT_NE(std::string::npos,
@@ -200,9 +200,9 @@
 }
 
 /*
- * The platform is down when the node starts. It serves what needs no
- * configuration, tells its state on SIGUSR1, and ends by itself with status 0
- * once SIGTERM has told it to drain; a second SIGTERM ends it at once.
+ * The platform is down when the node starts. The node serves requests that need
+ * no configuration, dumps its state on SIGUSR1, and exits with status 0 once it
+ * has drained after SIGTERM; a second SIGTERM ends it at once.
  */
 TEST_F(Siskinlinkd, RunsTellsItsStateAndDrains)
 {
