--- a/adapters/gateway/listener.c
+++ b/adapters/gateway/listener.c
@@ -8,7 +8,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Taken at once, so that a rush of callers can't keep the loop. */
+/* Per wake-up, so that a burst of connections does not starve the loop. */
 #define MAX_ACCEPTS 32
 
 struct listener {
@@ -33,7 +33,10 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* Listens at IPv4:PORT; NULL and an error if it can't be had. */
+/*
+ * Listens at IPv4:PORT and hands each connection to the set, which the caller
+ * keeps. NULL and an error if the address is invalid or can't be bound.
+ */
 struct listener *listener_create(const char *address, struct caller_set *set,
 				 struct error *error)
 {
@@ -49,7 +52,7 @@
 	return listener;
 }
 
-/* Listens no more; connections stay. NULL is allowed. */
+/* Stops listening; open connections stay. NULL is allowed. */
 void listener_destroy(struct listener *listener)
 {
 	if (!listener)
--- a/adapters/gateway/report_poll.c
+++ b/adapters/gateway/report_poll.c
@@ -5,110 +5,116 @@
 #include <string.h>
 
 /*
- * An engine under notice has 1.5 s, and its report is half a second old: with
- * this pause a generation still has half a second to leave. Each report is
- * paid for as a probe, so none is asked for without a reason to doubt the
- * store.
+ * An engine stops 1.5 s after its notice, and its report may be half a second
+ * old: with this period a generation still has half a second to move away.
+ * Each report is billed as a probe, so none is requested without a reason to
+ * doubt the store.
  */
-#define POLL_US (300 * 1000)
-#define TIMEOUT_US (600 * 1000)
+#define POLL_PERIOD_US (300 * 1000)
+#define REPORT_TIMEOUT_US (600 * 1000)
 
 #define STATUS_OK 200
 
-struct question {
+struct poll_request {
 	struct report_poll *poll;
 	char *endpoint_id;
 	struct attempt *attempt;
 	GByteArray *body;
 	int32_t status;
-	int64_t asked_us;
-	bool is_over;
+	int64_t sent_us;
+	bool is_done;
 };
 
 struct report_poll {
 	const struct dialect *dialect;
-	report_poll_function leaves;
+	report_poll_callback on_leaving;
 	void *data;
-	GHashTable *questions; /* endpoint id to struct question */
+	GHashTable *requests; /* endpoint id to struct poll_request */
 };
 
-static void question_destroy(gpointer data)
+static void poll_request_destroy(gpointer data)
 {
-	struct question *question = data;
+	struct poll_request *poll_request = data;
 
-	attempt_destroy(question->attempt);
-	g_byte_array_unref(question->body);
-	g_free(question->endpoint_id);
-	g_free(question);
+	attempt_destroy(poll_request->attempt);
+	g_byte_array_unref(poll_request->body);
+	g_free(poll_request->endpoint_id);
+	g_free(poll_request);
 }
 
 static void on_head(void *data, const struct http_head *head)
 {
-	((struct question *)data)->status = head->status;
+	((struct poll_request *)data)->status = head->status;
 }
 
 static void on_body(void *data, const char *bytes, size_t size)
 {
-	struct question *question = data;
+	struct poll_request *poll_request = data;
 
-	g_byte_array_append(question->body, (const guint8 *)bytes, (guint)size);
+	g_byte_array_append(poll_request->body, (const guint8 *)bytes,
+			    (guint)size);
 }
 
-static void on_whole(void *data)
+static void on_complete(void *data)
 {
-	struct question *question = data;
-	GBytes *body = g_bytes_new(question->body->data, question->body->len);
-	bool leaves = question->status == STATUS_OK &&
-		      question->poll->dialect->read_report_leaves(body);
+	struct poll_request *poll_request = data;
+	GBytes *body =
+		g_bytes_new(poll_request->body->data, poll_request->body->len);
+	bool is_leaving = poll_request->status == STATUS_OK &&
+			  poll_request->poll->dialect->read_report_leaves(body);
 
 	g_bytes_unref(body);
-	question->is_over = true;
-	if (leaves)
-		question->poll->leaves(question->poll->data,
-				       question->endpoint_id);
+	poll_request->is_done = true;
+	if (is_leaving)
+		poll_request->poll->on_leaving(poll_request->poll->data,
+					       poll_request->endpoint_id);
 }
 
-/* An engine that can't be asked is found out by its requests. */
+/* An engine that can't be polled is detected by the failure of its requests. */
 static void on_failed(void *data, const struct error *error)
 {
 	(void)error;
-	((struct question *)data)->is_over = true;
+	((struct poll_request *)data)->is_done = true;
 }
 
-static const struct attempt_events question_events = {
+static const struct attempt_events poll_request_events = {
 	.head = on_head,
 	.body = on_body,
-	.whole = on_whole,
+	.whole = on_complete,
 	.failed = on_failed,
 };
 
-/* A poll that tells its owner of engines that leave. */
+/*
+ * Calls on_leaving with data for each report of a leaving engine. The dialect
+ * must outlive the poll; the caller owns the result.
+ */
 struct report_poll *report_poll_create(const struct dialect *dialect,
-				       report_poll_function leaves, void *data)
+				       report_poll_callback on_leaving,
+				       void *data)
 {
 	struct report_poll *poll = g_new0(struct report_poll, 1);
 
 	poll->dialect = dialect;
-	poll->leaves = leaves;
+	poll->on_leaving = on_leaving;
 	poll->data = data;
-	poll->questions = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-						question_destroy);
+	poll->requests = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					       poll_request_destroy);
 	return poll;
 }
 
-/* Ends all questions; NULL is allowed. */
+/* Aborts all requests in progress; NULL is allowed. */
 void report_poll_destroy(struct report_poll *poll)
 {
 	if (!poll)
 		return;
-	g_hash_table_unref(poll->questions);
+	g_hash_table_unref(poll->requests);
 	g_free(poll);
 }
 
-static void poll_ask(struct report_poll *poll, const struct endpoint *endpoint,
-		     int64_t now_us)
+static void poll_send_request(struct report_poll *poll,
+			      const struct endpoint *endpoint, int64_t now_us)
 {
-	struct question *question = g_new0(struct question, 1);
+	struct poll_request *poll_request = g_new0(struct poll_request, 1);
 	struct attempt_options options = {
 		.address = endpoint->said->address,
 		.request = g_string_new(NULL),
@@ -116,36 +122,43 @@
 	};
 	struct error error;
 
-	question->poll = poll;
-	question->endpoint_id = g_strdup(endpoint->said->id);
-	question->body = g_byte_array_new();
-	question->asked_us = now_us;
+	poll_request->poll = poll;
+	poll_request->endpoint_id = g_strdup(endpoint->said->id);
+	poll_request->body = g_byte_array_new();
+	poll_request->sent_us = now_us;
 	poll->dialect->write_report(options.address, options.request);
-	question->attempt =
-		attempt_start(&options, &question_events, question, &error);
-	question->is_over = !question->attempt;
-	g_hash_table_insert(poll->questions, question->endpoint_id, question);
+	poll_request->attempt = attempt_start(&options, &poll_request_events,
+					      poll_request, &error);
+	poll_request->is_done = !poll_request->attempt;
+	g_hash_table_insert(poll->requests, poll_request->endpoint_id,
+			    poll_request);
 }
 
-static gboolean question_is_done(gpointer id, gpointer value, gpointer data)
+static gboolean poll_request_is_expired(gpointer id, gpointer value,
+					gpointer data)
 {
-	const struct question *question = value;
-	int64_t age_us = *(const int64_t *)data - question->asked_us;
+	const struct poll_request *poll_request = value;
+	int64_t age_us = *(const int64_t *)data - poll_request->sent_us;
 
 	(void)id;
-	return age_us > TIMEOUT_US || (question->is_over && age_us > POLL_US);
+	return age_us > REPORT_TIMEOUT_US ||
+	       (poll_request->is_done && age_us > POLL_PERIOD_US);
 }
 
-/* Asks each of the engines, struct endpoint, now and then. */
+/*
+ * Requests the report of each endpoint (struct endpoint) that has no recent
+ * request. To be called often, with the endpoints to poll at the moment.
+ */
 void report_poll_step(struct report_poll *poll, const GPtrArray *endpoints,
 		      int64_t now_us)
 {
-	g_hash_table_foreach_remove(poll->questions, question_is_done, &now_us);
+	g_hash_table_foreach_remove(poll->requests, poll_request_is_expired,
+				    &now_us);
 	for (guint i = 0; i < endpoints->len; i++) {
 		const struct endpoint *endpoint =
 			g_ptr_array_index(endpoints, i);
 
-		if (!g_hash_table_contains(poll->questions, endpoint->said->id))
-			poll_ask(poll, endpoint, now_us);
+		if (!g_hash_table_contains(poll->requests, endpoint->said->id))
+			poll_send_request(poll, endpoint, now_us);
 	}
 }
--- a/adapters/gateway/report_poll.h
+++ b/adapters/gateway/report_poll.h
@@ -10,16 +10,18 @@
 G_BEGIN_DECLS
 
 /*
- * Asks engines themselves whether they leave, where the store that would say so
- * can't be reached, or said of one what may not be so.
+ * Polls the reports of engines to learn whether they are leaving, while the
+ * store that would announce it can't be reached or its last entry of an engine
+ * is in doubt.
  */
 struct report_poll;
 
-/* The engine says that it leaves. */
-typedef void (*report_poll_function)(void *data, const char *endpoint_id);
+/* The report of this engine says that the engine is leaving. */
+typedef void (*report_poll_callback)(void *data, const char *endpoint_id);
 
 struct report_poll *report_poll_create(const struct dialect *dialect,
-				       report_poll_function leaves, void *data);
+				       report_poll_callback on_leaving,
+				       void *data);
 void report_poll_destroy(struct report_poll *poll);
 void report_poll_step(struct report_poll *poll, const GPtrArray *endpoints,
 		      int64_t now_us);
--- a/adapters/gateway/store_calls.c
+++ b/adapters/gateway/store_calls.c
@@ -8,10 +8,10 @@
 	struct store_calls_options options;
 	char *address;
 	struct event_sink sink;
-	struct endpoint_pool *pool; /* of connections for reads */
+	struct endpoint_pool *pool; /* idle connections, for reads */
 	GHashTable *calls;	    /* struct store_call, a set */
 	GPtrArray *watches;	    /* struct store_watch */
-	bool failing;		    /* logged already */
+	bool outage_logged;
 };
 
 struct store_call {
@@ -42,24 +42,25 @@
 	g_free(call);
 }
 
-static bool op_reads(enum kv_op op)
+static bool op_is_read(enum kv_op op)
 {
 	return op == KV_GET || op == KV_LIST;
 }
 
-/* A long outage is one line in the log, not one for each call. */
-static void calls_log(struct store_calls *calls, const struct error *error)
+/* Logs the start and the end of an outage, not each failed call. */
+static void calls_log_outage(struct store_calls *calls,
+			     const struct error *error)
 {
-	if (error && !calls->failing)
+	if (error && !calls->outage_logged)
 		log_write_error(calls->options.log, LOG_LEVEL_WARN,
 				"kv_call_failed", error);
-	if (!error && calls->failing)
+	if (!error && calls->outage_logged)
 		log_write(calls->options.log, LOG_LEVEL_INFO, "kv_call_works",
 			  "peer", calls->address, NULL);
-	calls->failing = error != NULL;
+	calls->outage_logged = error != NULL;
 }
 
-/* Tells the outcome; the call is over and gone. */
+/* Delivers the outcome and frees the call. */
 static void call_deliver(struct store_call *call, struct kv_answer *answer)
 {
 	struct store_calls *calls = call->calls;
@@ -77,7 +78,7 @@
 {
 	struct kv_answer answer = {.outcome = outcome};
 
-	calls_log(call->calls, error);
+	calls_log_outage(call->calls, error);
 	call_deliver(call, &answer);
 }
 
@@ -92,7 +93,7 @@
 			    (const guint8 *)bytes, (guint)size);
 }
 
-static void on_whole(void *data)
+static void on_complete(void *data)
 {
 	struct store_call *call = data;
 	struct store_calls *calls = call->calls;
@@ -101,7 +102,7 @@
 	GBytes *body = g_bytes_new(call->body->data, call->body->len);
 	bool is_read;
 
-	if (op_reads(call->request.op))
+	if (op_is_read(call->request.op))
 		attempt_keep_connection(call->attempt, calls->pool, INT64_MAX);
 	is_read = calls->options.dialect->read_call(
 		&call->request, call->status, body, &answer, &error);
@@ -109,14 +110,15 @@
 	if (is_read && answer.outcome == KV_NOT_APPLIED)
 		error_set(&error, ERROR_REFUSED, "kv.call", calls->address,
 			  "status %d", call->status);
-	calls_log(calls,
-		  !is_read || answer.outcome == KV_NOT_APPLIED ? &error : NULL);
+	calls_log_outage(calls, !is_read || answer.outcome == KV_NOT_APPLIED
+					? &error
+					: NULL);
 	call_deliver(call, &answer);
 }
 
 /*
- * Only what has not left is known not to be applied: an answer that never came
- * may belong to a write that happens seconds later.
+ * Only a request that was not sent is certain not to be applied: without an
+ * answer, the store may still apply a write seconds later.
  */
 static void on_failed(void *data, const struct error *error)
 {
@@ -131,7 +133,7 @@
 static const struct attempt_events attempt_events = {
 	.head = on_head,
 	.body = on_body,
-	.whole = on_whole,
+	.whole = on_complete,
 	.failed = on_failed,
 };
 
@@ -142,12 +144,15 @@
 
 	call->timer = 0;
 	error_set(&error, ERROR_TIMEOUT, "kv.call", call->calls->address,
-		  "no answer in time");
+		  "no answer within the timeout");
 	on_failed(call, &error);
 	return G_SOURCE_REMOVE;
 }
 
-/* Not at once: the sender is still carrying out its actions. */
+/*
+ * Runs from the loop: an event delivered from inside store_calls_apply would
+ * reach the sender while it is still carrying out its actions.
+ */
 static gboolean on_not_started(gpointer data)
 {
 	struct store_call *call = data;
@@ -155,7 +160,7 @@
 
 	call->timer = 0;
 	error_set(&error, ERROR_UNREACHABLE, "kv.call", call->calls->address,
-		  "no connection");
+		  "cannot start a connection");
 	call_fail(call, KV_NOT_APPLIED, &error);
 	return G_SOURCE_REMOVE;
 }
@@ -169,8 +174,8 @@
 }
 
 /*
- * Changes have a connection of their own: a kept one on which an answer was
- * lost says nothing any more, and the change would wait there in vain.
+ * Each write opens a new connection: a pooled one on which an answer was lost
+ * may be dead, and the write would wait there until its timeout.
  */
 static void calls_start(struct store_calls *calls,
 			const struct kv_request *request)
@@ -178,7 +183,7 @@
 	struct store_call *call = g_new0(struct store_call, 1);
 	struct attempt_options options = {
 		.address = calls->address,
-		.pool = op_reads(request->op) ? calls->pool : NULL,
+		.pool = op_is_read(request->op) ? calls->pool : NULL,
 		.request = g_string_new(NULL),
 		.now_us = g_get_monotonic_time(),
 	};
@@ -198,8 +203,9 @@
 		call->timer = g_idle_add(on_not_started, call);
 }
 
-/* Delivers a state that is newer than what was told; it never goes back. */
-static void watch_take(struct store_watch *watch, const struct store_item *item)
+/* Delivers a state only if its revision is newer than the last delivered. */
+static void watch_deliver_item(struct store_watch *watch,
+			       const struct store_item *item)
 {
 	struct event event = {.type = EVENT_KV_WATCH};
 
@@ -216,7 +222,7 @@
 static void on_page(void *data, const struct store_page *page)
 {
 	for (guint i = 0; i < page->items->len; i++)
-		watch_take(data, g_ptr_array_index(page->items, i));
+		watch_deliver_item(data, g_ptr_array_index(page->items, i));
 }
 
 static void watch_destroy(gpointer data)
@@ -228,7 +234,7 @@
 	g_free(watch);
 }
 
-static void calls_watch(struct store_calls *calls, const char *key)
+static void calls_start_watch(struct store_calls *calls, const char *key)
 {
 	struct store_watch *watch = g_new0(struct store_watch, 1);
 	const struct store_follower_options options = {
@@ -250,7 +256,10 @@
 	g_ptr_array_add(calls->watches, watch);
 }
 
-/* A client that has not connected yet; options and sink are copied. */
+/*
+ * Does not connect yet. Options and sink are copied, the address too; the
+ * dialects and the log must outlive the result, which the caller owns.
+ */
 struct store_calls *
 store_calls_create(const struct store_calls_options *options,
 		   const struct event_sink *sink)
@@ -266,7 +275,7 @@
 	return calls;
 }
 
-/* Gives up all calls and watches without delivering them; NULL is allowed. */
+/* Aborts all calls and watches without delivering them; NULL is allowed. */
 void store_calls_destroy(struct store_calls *calls)
 {
 	if (!calls)
@@ -278,7 +287,7 @@
 	g_free(calls);
 }
 
-/* Carries out ACTION_KV and ACTION_KV_WATCH; other types are not for it. */
+/* Carries out ACTION_KV and ACTION_KV_WATCH; ignores other types. */
 void store_calls_apply(struct store_calls *calls, const struct action *action)
 {
 	switch (action->type) {
@@ -286,7 +295,7 @@
 		calls_start(calls, &action->kv);
 		break;
 	case ACTION_KV_WATCH:
-		calls_watch(calls, action->kv_watch);
+		calls_start_watch(calls, action->kv_watch);
 		break;
 	default:
 		break;
--- a/adapters/gateway/store_calls.h
+++ b/adapters/gateway/store_calls.h
@@ -15,19 +15,19 @@
 G_BEGIN_DECLS
 
 /*
- * The key-value port over the platform's store. Carries ACTION_KV and
- * ACTION_KV_WATCH out; delivers EVENT_KV exactly once for each ACTION_KV, and
- * EVENT_KV_WATCH for each state of a watched key it learns. A call that goes
- * unanswered is told as such and never sent again from here: its sender sends
- * the same condition again, and whichever of the two comes first makes the
- * other one fail.
+ * Implements the key-value port on the platform's store. Carries out ACTION_KV
+ * and ACTION_KV_WATCH; delivers EVENT_KV exactly once for each ACTION_KV, and
+ * EVENT_KV_WATCH for each new state of a watched key. A call without an answer
+ * is delivered as KV_ANSWER_LOST and never retried here: the sender retries
+ * with the same condition, and whichever write the store applies first makes
+ * the other one fail.
  */
 
-/* How the store spells single calls; it translates and decides nothing. */
+/* Encodes and decodes single calls in the store's protocol. */
 struct kv_dialect {
 	void (*write_call)(const char *address,
 			   const struct kv_request *request, GString *out);
-	/* Fills in the outcome and what it brings, not id and op. */
+	/* Fills in the outcome and its result, but not id and op. */
 	bool (*read_call)(const struct kv_request *request, int32_t status,
 			  GBytes *body, struct kv_answer *answer,
 			  struct error *error);
--- a/adapters/gateway/store_follower.c
+++ b/adapters/gateway/store_follower.c
@@ -5,50 +5,52 @@
 #include <string.h>
 
 /*
- * Each watch is a call that is paid for, so it waits long; the store answers
- * one that has nothing to tell after ten seconds at the earliest. Until then a
- * store that went away is not seen: a few nodes ask it each second for what
- * costs least, and tell the others.
+ * Each watch is a billed call, so it waits long; the store answers a watch
+ * without changes after ten seconds at the earliest. An outage would not be
+ * noticed until then: a few nodes send the cheapest call each second as a
+ * probe, and inform the other nodes.
  */
-#define WATCH_MS 20000
+#define WATCH_WAIT_MS 20000
 #define WATCH_MARGIN_MS 1500
 #define PROBE_MS 1000
 #define PROBE_TIMEOUT_US (800 * 1000)
 #define LIST_TIMEOUT_MS 1500
 
 /*
- * A call is given up for silence, not for the time that it takes: a document of
- * half a MB needs seconds on a busy link, and one that is begun anew each time
- * never arrives. None takes as long as the longest.
+ * An answer that has begun is aborted after a time without bytes, not after a
+ * total time: a document of half a MB takes seconds on a busy link, and would
+ * never arrive if each attempt were aborted and restarted. No answer may take
+ * longer than MAX_ANSWER_US.
  */
 #define SILENCE_MS 1000
-#define LONGEST_ANSWER_US (15 * G_USEC_PER_SEC)
+#define MAX_ANSWER_US (15 * G_USEC_PER_SEC)
 
 /*
- * The first watch after a failure answers at once: until it does, a node does
- * not know that the store is back, and doubts what it is told.
+ * Wait time of the first watch after a failure, so that it is answered at once:
+ * until then the node can't tell that the store is reachable again, and doubts
+ * the entries that it has.
  */
-#define CHECK_MS 1
+#define CHECK_WAIT_MS 1
 
-/* Between two tries; all nodes would otherwise come back at once. */
-#define FIRST_PAUSE_MS 80
-#define LONGEST_PAUSE_MS 700
+/* Backoff between retries, so that the nodes do not all return at once. */
+#define FIRST_BACKOFF_MS 80
+#define MAX_BACKOFF_MS 700
 
-/* While another node asks in short turns and tells of the store's return. */
-#define PATIENT_PAUSE_MS 2000
+/* While another node retries often and announces the store's return. */
+#define SLOW_RETRY_MS 2000
 
-/* A peer that knows more may say so often. */
-#define POKE_US (300 * 1000)
+/* Least time between refreshes: a peer may announce a newer revision often. */
+#define REFRESH_INTERVAL_US (300 * 1000)
 
 #define STATUS_OK 200
 #define STATUS_MISSING 404
 #define STATUS_GONE 410
 
 enum follower_state {
-	FOLLOWER_PAUSING,
+	FOLLOWER_BACKING_OFF,
 	FOLLOWER_LISTING,
 	FOLLOWER_WATCHING,
-	FOLLOWER_RESTING /* somebody else follows and tells us */
+	FOLLOWER_INACTIVE /* another node follows and forwards the changes */
 };
 
 struct store_follower {
@@ -62,25 +64,25 @@
 	struct endpoint_pool *pool;
 	GByteArray *body;
 	int32_t status;
-	struct store_page list; /* pages read so far */
+	struct store_page list; /* items of the pages read so far */
 	char *list_after;
-	int64_t revision; /* known up to here; 0: nothing is */
-	int64_t poked_us;
-	int64_t begun_us;    /* the call in progress */
-	int64_t answered_us; /* its answer began; 0: it has not */
-	int64_t received_us; /* its last bytes came */
-	int32_t failures;    /* in a row */
+	int64_t revision; /* changes are known up to this one; 0: none */
+	int64_t refreshed_us;
+	int64_t started_us;  /* start of the call in progress */
+	int64_t answered_us; /* start of its answer; 0: none yet */
+	int64_t received_us; /* arrival of its last bytes */
+	int32_t failures;    /* consecutive */
 	guint timer;
 	bool is_reached;
-	bool is_patient;
-	bool is_unsure;	       /* that the store is reached, after a rest */
-	struct attempt *probe; /* of the store, while it is watched closely */
+	bool slow_retry;
+	bool is_unconfirmed;   /* reachability of the store, after inactivity */
+	struct attempt *probe; /* probe of the store in progress */
 	int64_t probed_us;
 	guint probe_timer;
 	bool probe_answered;
 };
 
-static void follower_go_on(struct store_follower *follower);
+static void follower_start_call(struct store_follower *follower);
 
 static void follower_stop_call(struct store_follower *follower)
 {
@@ -99,32 +101,32 @@
 		follower->events.reached(follower->events.data, reached);
 }
 
-static gboolean on_pause_over(gpointer data)
+static gboolean on_backoff_over(gpointer data)
 {
 	struct store_follower *follower = data;
 
 	follower->timer = 0;
-	follower_go_on(follower);
+	follower_start_call(follower);
 	return G_SOURCE_REMOVE;
 }
 
-/* The pause doubles with each failure, half of it by chance. */
-static void follower_pause(struct store_follower *follower)
+/* The backoff doubles with each failure; its second half is random. */
+static void follower_back_off(struct store_follower *follower)
 {
-	int32_t longest = FIRST_PAUSE_MS << MIN(follower->failures, 4);
+	int32_t longest = FIRST_BACKOFF_MS << MIN(follower->failures, 4);
 
-	longest = MIN(longest, LONGEST_PAUSE_MS);
-	if (follower->is_patient && follower->failures > 1)
-		longest = follower->options.patient_pause_ms
-				  ? follower->options.patient_pause_ms
-				  : PATIENT_PAUSE_MS;
-	follower->state = FOLLOWER_PAUSING;
+	longest = MIN(longest, MAX_BACKOFF_MS);
+	if (follower->slow_retry && follower->failures > 1)
+		longest = follower->options.slow_retry_ms
+				  ? follower->options.slow_retry_ms
+				  : SLOW_RETRY_MS;
+	follower->state = FOLLOWER_BACKING_OFF;
 	follower->timer = g_timeout_add(
 		(guint)g_rand_int_range(follower->random, longest / 2, longest),
-		on_pause_over, follower);
+		on_backoff_over, follower);
 }
 
-/* A call in progress is ended, and what had come of its answer is lost. */
+/* Logs that a partly received answer is dropped with its call. */
 static void follower_log_dropped(const struct store_follower *follower,
 				 int64_t now_us)
 {
@@ -134,7 +136,7 @@
 		return;
 	g_snprintf(bytes, sizeof(bytes), "%u", follower->body->len);
 	g_snprintf(waited, sizeof(waited), "%" G_GINT64_FORMAT,
-		   (now_us - follower->begun_us) / 1000);
+		   (now_us - follower->started_us) / 1000);
 	log_write(follower->options.log, LOG_LEVEL_INFO, "store_read_dropped",
 		  "prefix", follower->prefix, "bytes", bytes, "ms", waited,
 		  NULL);
@@ -153,7 +155,7 @@
 	}
 	follower->failures++;
 	follower_set_reached(follower, false);
-	follower_pause(follower);
+	follower_back_off(follower);
 }
 
 static void on_probe_head(void *data, const struct http_head *head)
@@ -164,7 +166,7 @@
 		head->status == STATUS_OK || head->status == STATUS_MISSING;
 }
 
-static void probe_over(struct store_follower *follower, const char *problem)
+static void probe_finish(struct store_follower *follower, const char *problem)
 {
 	attempt_destroy(g_steal_pointer(&follower->probe));
 	if (!problem && follower->events.answered)
@@ -173,25 +175,30 @@
 		follower_fail(follower, problem);
 }
 
-static void on_probe_whole(void *data)
+static void on_probe_complete(void *data)
 {
 	struct store_follower *follower = data;
 
-	probe_over(follower, follower->probe_answered ? NULL : "probe refused");
+	probe_finish(follower, follower->probe_answered
+				       ? NULL
+				       : "probe answered with an error status");
 }
 
 static void on_probe_failed(void *data, const struct error *error)
 {
-	probe_over(data, error->detail);
+	probe_finish(data, error->detail);
 }
 
 static const struct attempt_events probe_events = {
 	.head = on_probe_head,
-	.whole = on_probe_whole,
+	.whole = on_probe_complete,
 	.failed = on_probe_failed,
 };
 
-/* Each probe has a connection of its own: an old one may be dead by itself. */
+/*
+ * Each probe opens a new connection: an old one may be dead although the store
+ * is reachable.
+ */
 static gboolean on_probe_due(gpointer data)
 {
 	struct store_follower *follower = data;
@@ -200,7 +207,7 @@
 
 	if (follower->probe &&
 	    g_get_monotonic_time() - follower->probed_us > PROBE_TIMEOUT_US)
-		probe_over(follower, "probe timeout");
+		probe_finish(follower, "probe timed out");
 	if (follower->probe || !follower->is_reached)
 		return G_SOURCE_CONTINUE;
 	options.request = g_string_new(NULL);
@@ -211,7 +218,7 @@
 	follower->probe =
 		attempt_start(&options, &probe_events, follower, &error);
 	if (!follower->probe)
-		probe_over(follower, error.detail);
+		probe_finish(follower, error.detail);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -221,7 +228,10 @@
 					    : SILENCE_MS;
 }
 
-/* Whether the answer to the call in progress is arriving. */
+/*
+ * Whether the answer to the call in progress has begun, its last bytes are
+ * recent and it has not taken longer than MAX_ANSWER_US.
+ */
 bool store_follower_is_receiving(const struct store_follower *follower)
 {
 	int64_t now_us = g_get_monotonic_time();
@@ -229,7 +239,7 @@
 	return follower->attempt && follower->answered_us &&
 	       now_us - follower->received_us <
 		       (int64_t)follower_silence_ms(follower) * 1000 &&
-	       now_us - follower->answered_us < LONGEST_ANSWER_US;
+	       now_us - follower->answered_us < MAX_ANSWER_US;
 }
 
 static gboolean on_timeout(gpointer data)
@@ -264,7 +274,7 @@
 	g_byte_array_append(follower->body, (const guint8 *)bytes, (guint)size);
 }
 
-static void follower_forget_list(struct store_follower *follower)
+static void follower_clear_list(struct store_follower *follower)
 {
 	store_page_clear(&follower->list);
 	store_page_init(&follower->list);
@@ -272,11 +282,12 @@
 }
 
 /*
- * One page. Pages are no snapshot: the revision of the first one is kept, and
- * what changed while the others were read comes again with the watch.
+ * Adds a page to the listing. The pages of a listing are not one snapshot, so
+ * the watch starts at the revision of the first page: it repeats the changes
+ * that were made while the other pages were read.
  */
-static void follower_take_list(struct store_follower *follower,
-			       struct store_page *page)
+static void follower_add_list_page(struct store_follower *follower,
+				   struct store_page *page)
 {
 	const struct store_item *last;
 
@@ -294,7 +305,7 @@
 	follower->revision = follower->list.revision;
 	follower_set_reached(follower, true);
 	follower->events.listed(follower->events.data, &follower->list);
-	follower_forget_list(follower);
+	follower_clear_list(follower);
 }
 
 static bool follower_read(struct store_follower *follower, GBytes *body,
@@ -308,7 +319,7 @@
 	if (follower->state == FOLLOWER_LISTING) {
 		is_read = dialect->read_list(body, &page, error);
 		if (is_read)
-			follower_take_list(follower, &page);
+			follower_add_list_page(follower, &page);
 	} else {
 		is_read = dialect->read_watch(body, &page, error);
 		if (is_read) {
@@ -322,7 +333,7 @@
 	return is_read;
 }
 
-static void on_whole(void *data)
+static void on_complete(void *data)
 {
 	struct store_follower *follower = data;
 	struct error error = {.detail = ""};
@@ -330,11 +341,11 @@
 	bool is_read;
 
 	if (follower->status == STATUS_GONE) {
-		/* Its history is shorter than our pause: read all anew. */
+		/* The store no longer has the changes since: list again. */
 		follower->revision = 0;
-		follower_forget_list(follower);
+		follower_clear_list(follower);
 		follower_stop_call(follower);
-		follower_go_on(follower);
+		follower_start_call(follower);
 		return;
 	}
 	if (follower->status != STATUS_OK) {
@@ -350,9 +361,9 @@
 		return;
 	}
 	follower->failures = 0;
-	follower->is_unsure = false;
+	follower->is_unconfirmed = false;
 	follower_stop_call(follower);
-	follower_go_on(follower);
+	follower_start_call(follower);
 }
 
 static void on_failed(void *data, const struct error *error)
@@ -366,14 +377,15 @@
 static const struct attempt_events attempt_events = {
 	.head = on_head,
 	.body = on_body,
-	.whole = on_whole,
+	.whole = on_complete,
 	.failed = on_failed,
 };
 
 static int64_t follower_wait_ms(const struct store_follower *follower)
 {
-	return follower->is_reached && !follower->is_unsure ? WATCH_MS
-							    : CHECK_MS;
+	return follower->is_reached && !follower->is_unconfirmed
+		       ? WATCH_WAIT_MS
+		       : CHECK_WAIT_MS;
 }
 
 static void follower_write(const struct store_follower *follower, GString *out)
@@ -389,7 +401,7 @@
 				     follower_wait_ms(follower), out);
 }
 
-static void follower_go_on(struct store_follower *follower)
+static void follower_start_call(struct store_follower *follower)
 {
 	struct attempt_options options = {
 		.address = follower->address,
@@ -406,7 +418,7 @@
 			? LIST_TIMEOUT_MS
 			: (guint)follower_wait_ms(follower) + WATCH_MARGIN_MS;
 	follower->status = 0;
-	follower->begun_us = g_get_monotonic_time();
+	follower->started_us = g_get_monotonic_time();
 	follower->answered_us = 0;
 	g_byte_array_set_size(follower->body, 0);
 	follower_write(follower, options.request);
@@ -419,7 +431,11 @@
 		follower_fail(follower, error.detail);
 }
 
-/* Begins to read and to watch; the store may be away. */
+/*
+ * Starts to list and then to watch; the store may be unreachable. Options and
+ * events are copied, address and prefix too; the dialect and the log must
+ * outlive the follower, which the caller owns.
+ */
 struct store_follower *
 store_follower_create(const struct store_follower_options *options,
 		      const struct store_follower_events *events)
@@ -434,11 +450,11 @@
 	follower->body = g_byte_array_new();
 	follower->pool = endpoint_pool_create();
 	store_page_init(&follower->list);
-	follower_go_on(follower);
+	follower_start_call(follower);
 	return follower;
 }
 
-/* Stops following; NULL is allowed. */
+/* Aborts the calls in progress and frees the follower; NULL is allowed. */
 void store_follower_destroy(struct store_follower *follower)
 {
 	if (!follower)
@@ -456,48 +472,52 @@
 }
 
 /*
- * Rests, or goes on from the revision last known. What changed in between is
- * told by the next watch, or read anew if the store has forgotten it. The
- * watch answers at once: what this node knew of the store is old.
+ * Stops following, or continues from the last known revision. The next watch
+ * delivers the changes made in between, or all keys are listed again if the
+ * store no longer has those changes. That watch is answered at once, since the
+ * state that this node has is old.
  */
 void store_follower_set_active(struct store_follower *follower, bool active)
 {
-	if (active == (follower->state != FOLLOWER_RESTING))
+	if (active == (follower->state != FOLLOWER_INACTIVE))
 		return;
 	if (active) {
-		follower->is_unsure = true;
-		follower_go_on(follower);
+		follower->is_unconfirmed = true;
+		follower_start_call(follower);
 		return;
 	}
 	follower_stop_call(follower);
-	follower->state = FOLLOWER_RESTING;
+	follower->state = FOLLOWER_INACTIVE;
 	follower->failures = 0;
 }
 
 /*
- * Whether another node looks out for the store while it is away. All nodes
- * asking in short turns would ask most when the store can bear it least, and
- * each call is paid for. Once the other one has reached it nobody waits.
+ * Sets whether to retry seldom, because another node retries often while the
+ * store is unreachable. If all nodes retried often, the store would get most
+ * calls while it can handle least, and each call is billed. Setting it to
+ * false, once the other node has reached the store, retries after the first
+ * backoff.
  */
-void store_follower_set_patient(struct store_follower *follower, bool patient)
+void store_follower_set_patient(struct store_follower *follower,
+				bool slow_retry)
 {
-	if (follower->is_patient == patient)
+	if (follower->slow_retry == slow_retry)
 		return;
-	follower->is_patient = patient;
-	if (patient || follower->state != FOLLOWER_PAUSING)
+	follower->slow_retry = slow_retry;
+	if (slow_retry || follower->state != FOLLOWER_BACKING_OFF)
 		return;
 	follower_stop_call(follower);
 	follower->failures = 0;
-	follower_pause(follower);
+	follower_back_off(follower);
 }
 
-/* Whether to ask each second if the store is still there. */
-void store_follower_watch_closely(struct store_follower *follower, bool closely)
+/* Sets whether to probe each second if the store is still reachable. */
+void store_follower_watch_closely(struct store_follower *follower, bool probing)
 {
-	if (closely && !follower->probe_timer)
+	if (probing && !follower->probe_timer)
 		follower->probe_timer =
 			g_timeout_add(PROBE_MS, on_probe_due, follower);
-	if (closely || !follower->probe_timer)
+	if (probing || !follower->probe_timer)
 		return;
 	g_source_remove(follower->probe_timer);
 	follower->probe_timer = 0;
@@ -505,32 +525,32 @@
 }
 
 /*
- * Something newer is known to be there: asks again on a new connection, since
- * the present one may have gone silent without a word. An answer that arrives
- * is read to its end.
+ * To be called when the store is known to have a newer revision: calls the
+ * store again on another connection, since the present one may be dead. An
+ * answer that is arriving is read to its end instead.
  */
 void store_follower_poke(struct store_follower *follower)
 {
 	int64_t now_us = g_get_monotonic_time();
 
-	if (follower->state == FOLLOWER_PAUSING ||
-	    follower->state == FOLLOWER_RESTING ||
+	if (follower->state == FOLLOWER_BACKING_OFF ||
+	    follower->state == FOLLOWER_INACTIVE ||
 	    store_follower_is_receiving(follower) ||
-	    now_us - follower->poked_us < POKE_US)
+	    now_us - follower->refreshed_us < REFRESH_INTERVAL_US)
 		return;
-	follower->poked_us = now_us;
+	follower->refreshed_us = now_us;
 	follower_log_dropped(follower, now_us);
 	follower_stop_call(follower);
-	follower_go_on(follower);
+	follower_start_call(follower);
 }
 
-/* Calls in a row that failed; 0: the last one was answered. */
+/* Number of consecutive failed calls; 0: the last one was answered. */
 int32_t store_follower_failures(const struct store_follower *follower)
 {
 	return follower->failures;
 }
 
-/* Whether the last call was answered. */
+/* Whether the store answered the last call, and the last probe if any. */
 bool store_follower_is_reached(const struct store_follower *follower)
 {
 	return follower->is_reached;
--- a/adapters/gateway/store_follower.h
+++ b/adapters/gateway/store_follower.h
@@ -12,11 +12,12 @@
 G_BEGIN_DECLS
 
 /*
- * Keeps up with all keys below a prefix of the platform's store: reads them
- * once, then watches from the revision read, and reads again where the store
- * no longer knows what has changed since.
+ * Follows all keys below a prefix of the platform's store: lists them once,
+ * then watches from the listed revision, and lists them again if the store no
+ * longer has the changes since that revision.
  */
-/* How the store spells it; it translates and decides nothing. */
+
+/* Encodes and decodes the calls of a follower in the store's protocol. */
 struct store_dialect {
 	void (*write_list)(const char *address, const char *prefix,
 			   const char *after, GString *out);
@@ -36,8 +37,8 @@
 	const struct store_dialect *dialect;
 	struct log *log;
 	uint64_t seed;
-	int32_t patient_pause_ms; /* longest between two tries; 0: usual */
-	int32_t silence_ms; /* an answer that began is given up; 0: usual */
+	int32_t slow_retry_ms; /* longest wait of a slow retry; 0: default */
+	int32_t silence_ms;    /* longest pause within an answer; 0: default */
 };
 
 struct store_follower_events {
@@ -45,7 +46,7 @@
 	void (*changed)(void *data, const struct store_page *page);
 	void (*reached)(void *data, bool is_reached); /* may be NULL */
 	void *data;
-	void (*answered)(void *data); /* a probe; may be NULL */
+	void (*answered)(void *data); /* probe answered; may be NULL */
 };
 
 struct store_follower;
@@ -55,9 +56,10 @@
 		      const struct store_follower_events *events);
 void store_follower_destroy(struct store_follower *follower);
 void store_follower_set_active(struct store_follower *follower, bool active);
-void store_follower_set_patient(struct store_follower *follower, bool patient);
+void store_follower_set_patient(struct store_follower *follower,
+				bool slow_retry);
 void store_follower_watch_closely(struct store_follower *follower,
-				  bool closely);
+				  bool probing);
 void store_follower_poke(struct store_follower *follower);
 bool store_follower_is_receiving(const struct store_follower *follower);
 int32_t store_follower_failures(const struct store_follower *follower);
--- a/adapters/gateway/store_page.c
+++ b/adapters/gateway/store_page.c
@@ -10,7 +10,7 @@
 	g_free(item);
 }
 
-/* An empty page; store_page_clear frees what is put in. */
+/* Makes an empty page, to be freed by store_page_clear. */
 void store_page_init(struct store_page *page)
 {
 	page->items = g_ptr_array_new_with_free_func(item_free);
@@ -18,13 +18,13 @@
 	page->has_more = false;
 }
 
-/* Frees what the page holds. */
+/* Frees all items of the page, but not the page itself. */
 void store_page_clear(struct store_page *page)
 {
 	g_clear_pointer(&page->items, g_ptr_array_unref);
 }
 
-/* Appends an item to be filled in. */
+/* Appends an empty item, owned by the page, for the caller to fill in. */
 struct store_item *store_page_add(struct store_page *page)
 {
 	struct store_item *item = g_new0(struct store_item, 1);
--- a/adapters/gateway/store_page.h
+++ b/adapters/gateway/store_page.h
@@ -7,13 +7,14 @@
 
 G_BEGIN_DECLS
 
-/* One answer of the platform's store: keys as they are, or changes. */
+/* A key of the platform's store in one state. */
 struct store_item {
 	char *key;
 	GBytes *value; /* NULL: deleted */
 	int64_t revision;
 };
 
+/* One answer of the platform's store: a part of a listing, or changes. */
 struct store_page {
 	GPtrArray *items; /* struct store_item */
 	int64_t revision; /* of the store when it answered */
--- a/adapters/gateway/tcp_stream.c
+++ b/adapters/gateway/tcp_stream.c
@@ -17,36 +17,36 @@
 #define BACKLOG 512
 
 /*
- * A peer that is gone without a word is noticed after about three seconds:
- * one of idleness and two unanswered probes. Shorter would take a link that
- * loses a few packets for a dead one.
+ * A peer that vanished without closing is detected after about three seconds:
+ * one of idleness and two unanswered probes. A shorter time would treat a link
+ * that loses a few packets as dead.
  */
 #define KEEPALIVE_IDLE_S 1
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES 2
 #define UNSENT_TIMEOUT_MS 3000
 
-/* How long the peer may take to read what waits, and then to close. */
-#define FLUSH_US (30 * G_USEC_PER_SEC)
-#define CLOSE_US (2 * G_USEC_PER_SEC)
+/* Time limits for the peer to read the unsent bytes, and then to close. */
+#define FLUSH_TIMEOUT_US (30 * G_USEC_PER_SEC)
+#define CLOSE_TIMEOUT_US (2 * G_USEC_PER_SEC)
 
 struct tcp_stream {
-	GSource source; /* first: GLib allocates and counts it */
+	GSource source; /* must be first: GLib allocates and counts it */
 	int fd;
 	gpointer tag;
 	const struct tcp_stream_events *events;
 	void *data;
 	GByteArray *unsent;
-	size_t unsent_from; /* bytes of it that have left already */
+	size_t unsent_offset; /* bytes of it already sent */
 	bool connecting;
 	bool reading;
 	bool has_sent;
-	bool finishing; /* owned by itself: last bytes, then closed */
-	bool shut;
+	bool finishing; /* without owner: sends the rest, then closes */
+	bool write_closed;
 	char peer[64];
 };
 
-/* Splits IPv4:PORT. False if it is neither. */
+/* Splits IPv4:PORT into host and port. False if the address is invalid. */
 bool tcp_address_parse(const char *address, char *host, size_t host_size,
 		       uint16_t *port)
 {
@@ -79,7 +79,7 @@
 
 static void socket_set_int(int fd, int level, int option, int value)
 {
-	/* An option the system lacks costs speed or a later notice only. */
+	/* A system without the option loses only speed or early detection. */
 	(void)setsockopt(fd, level, option, &value, sizeof(value));
 }
 
@@ -93,16 +93,16 @@
 	socket_set_int(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, UNSENT_TIMEOUT_MS);
 }
 
-/* What the loop waits for follows from the state, at each change of it. */
-static void stream_update(struct tcp_stream *stream)
+/* Sets the conditions to poll for; to be called at each change of state. */
+static void stream_update_conditions(struct tcp_stream *stream)
 {
 	GIOCondition wanted = 0;
 
 	if (stream->fd < 0)
 		return;
-	if (stream->reading || stream->shut)
+	if (stream->reading || stream->write_closed)
 		wanted |= G_IO_IN;
-	if (stream->connecting || stream->unsent->len > stream->unsent_from)
+	if (stream->connecting || stream->unsent->len > stream->unsent_offset)
 		wanted |= G_IO_OUT;
 	g_source_modify_unix_fd(&stream->source, stream->tag,
 				wanted | G_IO_HUP | G_IO_ERR);
@@ -125,8 +125,8 @@
 	g_source_unref(&stream->source);
 }
 
-/* Whether the peer's host was out of reach, rather than ending it. */
-static bool errno_is_silence(int number)
+/* Whether the host was unreachable, rather than the connection closed. */
+static bool errno_is_unreachable(int number)
 {
 	return number == ETIMEDOUT || number == EHOSTUNREACH ||
 	       number == ENETUNREACH;
@@ -137,7 +137,7 @@
 {
 	if (!stream->has_sent)
 		return ERROR_UNREACHABLE;
-	return errno_is_silence(number) ? ERROR_TIMEOUT : ERROR_CLOSED;
+	return errno_is_unreachable(number) ? ERROR_TIMEOUT : ERROR_CLOSED;
 }
 
 static void stream_fail(struct tcp_stream *stream, const char *step, int number)
@@ -155,42 +155,43 @@
 		stream->events->failed(stream->data, &error);
 }
 
-/* Sends what it can; false when the connection is broken. */
+/* Sends as much as the socket accepts; false on a broken connection. */
 static bool stream_flush(struct tcp_stream *stream)
 {
-	while (stream->unsent->len > stream->unsent_from) {
-		ssize_t sent = send(stream->fd,
-				    stream->unsent->data + stream->unsent_from,
-				    stream->unsent->len - stream->unsent_from,
-				    MSG_NOSIGNAL);
+	while (stream->unsent->len > stream->unsent_offset) {
+		ssize_t sent =
+			send(stream->fd,
+			     stream->unsent->data + stream->unsent_offset,
+			     stream->unsent->len - stream->unsent_offset,
+			     MSG_NOSIGNAL);
 
 		if (sent < 0 && errno == EINTR)
 			continue;
 		if (sent < 0)
 			return errno == EAGAIN || errno == EWOULDBLOCK;
 		stream->has_sent = true;
-		stream->unsent_from += (size_t)sent;
+		stream->unsent_offset += (size_t)sent;
 	}
 	g_byte_array_set_size(stream->unsent, 0);
-	stream->unsent_from = 0;
+	stream->unsent_offset = 0;
 	return true;
 }
 
 static void stream_finish_step(struct tcp_stream *stream)
 {
-	if (stream->shut || stream->unsent->len > stream->unsent_from)
+	if (stream->write_closed || stream->unsent->len > stream->unsent_offset)
 		return;
-	stream->shut = true;
+	stream->write_closed = true;
 	shutdown(stream->fd, SHUT_WR);
 	g_source_set_ready_time(&stream->source,
-				g_get_monotonic_time() + CLOSE_US);
+				g_get_monotonic_time() + CLOSE_TIMEOUT_US);
 }
 
 static void stream_on_writable(struct tcp_stream *stream)
 {
 	int number = 0;
 	socklen_t size = sizeof(number);
-	bool waited = stream->unsent->len > stream->unsent_from;
+	bool waited = stream->unsent->len > stream->unsent_offset;
 
 	if (stream->connecting) {
 		getsockopt(stream->fd, SOL_SOCKET, SO_ERROR, &number, &size);
@@ -256,10 +257,10 @@
 		stream_on_writable(stream);
 	if (stream->fd >= 0 && !stream->connecting &&
 	    (got & (G_IO_IN | G_IO_HUP | G_IO_ERR)) &&
-	    (stream->reading || stream->shut || (got & G_IO_ERR)))
+	    (stream->reading || stream->write_closed || (got & G_IO_ERR)))
 		stream_on_readable(stream);
 	if (stream->fd >= 0 && !g_source_is_destroyed(source))
-		stream_update(stream);
+		stream_update_conditions(stream);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -295,14 +296,14 @@
 
 static void stream_attach(struct tcp_stream *stream)
 {
-	stream_update(stream);
+	stream_update_conditions(stream);
 	g_source_attach(&stream->source, g_main_context_get_thread_default());
 }
 
 /*
- * Starts to connect to IPv4:PORT; opened or failed comes later. NULL with
- * ERROR_UNREACHABLE where no socket can be had, ERROR_INVALID for an address
- * that is none.
+ * Starts to connect to IPv4:PORT; the event opened or failed follows later.
+ * NULL with ERROR_UNREACHABLE if no connection can be started, or with
+ * ERROR_INVALID for an invalid address.
  */
 struct tcp_stream *tcp_stream_connect(const char *address,
 				      const struct tcp_stream_events *events,
@@ -314,7 +315,7 @@
 
 	if (!address_fill(address, &to)) {
 		error_set(error, ERROR_INVALID, STEP_CONNECT, address,
-			  "not IPv4:PORT");
+			  "not an IPv4:PORT address");
 		return NULL;
 	}
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -333,7 +334,7 @@
 	return stream;
 }
 
-/* Takes an accepted connection over; the descriptor is its own from then on. */
+/* Makes a stream of an accepted connection and takes ownership of fd. */
 struct tcp_stream *
 tcp_stream_adopt(int fd, const struct tcp_stream_events *events, void *data)
 {
@@ -343,7 +344,7 @@
 	return stream;
 }
 
-/* Hands the connection to another owner, as from a pool to a request. */
+/* Directs further events to another owner, as from a pool to a request. */
 void tcp_stream_set_owner(struct tcp_stream *stream,
 			  const struct tcp_stream_events *events, void *data)
 {
@@ -351,7 +352,7 @@
 	stream->data = data;
 }
 
-/* Closes at once; no event comes any more. NULL is allowed. */
+/* Closes at once and delivers no further event. NULL is allowed. */
 void tcp_stream_destroy(struct tcp_stream *stream)
 {
 	if (stream)
@@ -359,9 +360,10 @@
 }
 
 /*
- * Sends what waits, then closes; the owner lets go now. A socket closed with
- * unread bytes is reset, and the reset overtakes the last answer on its way:
- * so the peer's bytes are read away until it closes, for a bounded time.
+ * Sends the unsent bytes, then closes; the owner must not use the stream any
+ * more. NULL is allowed. Closing a socket with unread bytes sends a reset,
+ * which may make the peer discard the last answer: so the peer's bytes are read
+ * and dropped until it closes, for a bounded time.
  */
 void tcp_stream_finish(struct tcp_stream *stream)
 {
@@ -374,12 +376,12 @@
 	stream->finishing = true;
 	stream->events = NULL;
 	g_source_set_ready_time(&stream->source,
-				g_get_monotonic_time() + FLUSH_US);
+				g_get_monotonic_time() + FLUSH_TIMEOUT_US);
 	stream_finish_step(stream);
-	stream_update(stream);
+	stream_update_conditions(stream);
 }
 
-/* Sends bytes, or keeps them until the peer takes them. */
+/* Sends the bytes, or copies them until the peer accepts them. */
 void tcp_stream_write(struct tcp_stream *stream, const char *bytes, size_t size)
 {
 	ssize_t sent = 0;
@@ -390,20 +392,20 @@
 		sent = send(stream->fd, bytes, size, MSG_NOSIGNAL);
 		if (sent > 0)
 			stream->has_sent = true;
-		/* A broken connection is reported by the next poll. */
+		/* The next poll detects a broken connection. */
 		sent = MAX(sent, 0);
 	}
 	if ((size_t)sent == size)
 		return;
 	g_byte_array_append(stream->unsent, (const guint8 *)bytes + sent,
 			    (guint)(size - (size_t)sent));
-	stream_update(stream);
+	stream_update_conditions(stream);
 }
 
-/* Bytes that the peer has not taken yet. */
+/* Number of bytes written to the stream but not yet sent. */
 size_t tcp_stream_waiting_bytes(const struct tcp_stream *stream)
 {
-	return stream->unsent->len - stream->unsent_from;
+	return stream->unsent->len - stream->unsent_offset;
 }
 
 /* Whether any byte may have reached the peer. */
@@ -412,16 +414,19 @@
 	return stream->has_sent;
 }
 
-/* Stops or goes on reading; what the peer sends meanwhile waits at the peer. */
+/* Stops or resumes reading; meanwhile TCP flow control stops the peer. */
 void tcp_stream_set_reading(struct tcp_stream *stream, bool reading)
 {
 	if (stream->reading == reading)
 		return;
 	stream->reading = reading;
-	stream_update(stream);
+	stream_update_conditions(stream);
 }
 
-/* A listening socket at IPv4:PORT; -1 and an error if it can't be had. */
+/*
+ * Opens a non-blocking listening socket at IPv4:PORT, owned by the caller. -1
+ * and an error if the address is invalid or can't be bound.
+ */
 int tcp_listen(const char *address, struct error *error)
 {
 	struct sockaddr_in at;
@@ -429,7 +434,7 @@
 
 	if (!address_fill(address, &at)) {
 		error_set(error, ERROR_INVALID, STEP_LISTEN, address,
-			  "not IPv4:PORT");
+			  "not an IPv4:PORT address");
 		return -1;
 	}
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
--- a/adapters/gateway/tcp_stream.h
+++ b/adapters/gateway/tcp_stream.h
@@ -11,18 +11,18 @@
 G_BEGIN_DECLS
 
 /*
- * A TCP connection on the thread's main loop. Never blocks: what the peer does
- * not take waits in memory, and its size tells the owner when to stop reading
- * elsewhere. A connection that goes silent is found by keep-alive probes.
+ * A TCP connection on the thread's main loop. Never blocks: bytes that the peer
+ * does not accept yet are kept in memory, and their number tells the owner when
+ * to stop reading elsewhere. Keep-alive probes detect a dead peer.
  */
 struct tcp_stream;
 
 struct tcp_stream_events {
-	void (*opened)(void *data); /* connections made by connect only */
+	void (*opened)(void *data); /* only after tcp_stream_connect */
 	void (*received)(void *data, const char *bytes, size_t size);
-	void (*ended)(void *data); /* the peer sends nothing more */
+	void (*ended)(void *data); /* the peer closed its sending side */
 	void (*failed)(void *data, const struct error *error);
-	void (*drained)(void *data); /* nothing waits to be sent any more */
+	void (*drained)(void *data); /* all unsent bytes were sent */
 };
 
 struct tcp_stream *tcp_stream_connect(const char *address,
--- a/tests/store_calls_test.cc
+++ b/tests/store_calls_test.cc
@@ -11,8 +11,8 @@
 using answer = kv_recorded_answer;
 
 const char key[] = "/siskinlink/config";
-const int64_t patience_us = 5 * G_USEC_PER_SEC;
-const int64_t short_patience_us = 200 * 1000;
+const int64_t call_timeout_us = 5 * G_USEC_PER_SEC;
+const int64_t short_timeout_us = 200 * 1000;
 
 class StoreCalls : public StoreFixture, protected kv_recorder
 {
@@ -23,15 +23,15 @@
 	void SetUp() override
 	{
 		struct event_sink to = sink();
-		struct store_calls_options made = {};
+		struct store_calls_options options = {};
 
 		StartStore();
-		made.address = fake_server_address(server);
-		made.dialect = &platform_kv_dialect;
-		made.watch_dialect = &platform_store_dialect;
-		made.seed = 1;
-		made.log = log;
-		calls = store_calls_create(&made, &to);
+		options.address = fake_server_address(server);
+		options.dialect = &platform_kv_dialect;
+		options.watch_dialect = &platform_store_dialect;
+		options.seed = 1;
+		options.log = log;
+		calls = store_calls_create(&options, &to);
 	}
 
 	void TearDown() override
@@ -40,7 +40,8 @@
 		StopStore();
 	}
 
-	answer ask(struct kv_request request, int64_t timeout_us = patience_us)
+	answer call(struct kv_request request,
+		    int64_t timeout_us = call_timeout_us)
 	{
 		struct action action = {};
 		size_t before = answers.size();
@@ -66,11 +67,11 @@
 		request.op = KV_GET;
 		request.key = (char *)key;
 		request.read_revision = read_revision;
-		return ask(request);
+		return call(request);
 	}
 
 	answer put(const char *value, int64_t expected, int64_t lease = 0,
-		   int64_t timeout_us = patience_us)
+		   int64_t timeout_us = call_timeout_us)
 	{
 		struct kv_request request = {};
 		GBytes *bytes = g_bytes_new(value, strlen(value));
@@ -80,7 +81,7 @@
 		request.value = bytes;
 		request.expected_revision = expected;
 		request.lease = lease;
-		answer a = ask(request, timeout_us);
+		answer a = call(request, timeout_us);
 		g_bytes_unref(bytes);
 		return a;
 	}
@@ -92,7 +93,7 @@
 		request.op = op;
 		request.lease = lease;
 		request.ttl_s = ttl_s;
-		return ask(request);
+		return call(request);
 	}
 
 	answer remove(int64_t expected)
@@ -102,7 +103,7 @@
 		request.op = KV_DELETE;
 		request.key = (char *)key;
 		request.expected_revision = expected;
-		return ask(request);
+		return call(request);
 	}
 };
 
@@ -129,9 +130,9 @@
 	request.op = KV_LIST;
 	request.key = (char *)"/siskinlink/";
 	request.allow_stale = true;
-	EXPECT_EQ(0u, ask(request).count);
+	EXPECT_EQ(0u, call(request).count);
 	put("one", 0);
-	answer list = ask(request);
+	answer list = call(request);
 	EXPECT_EQ(1u, list.count);
 	EXPECT_EQ("one", list.value);
 }
@@ -157,13 +158,13 @@
 }
 
 /*
- * A change is made and its answer lost. Its sender can't know; it sends the
- * same condition again and is shown its own value, so the change stands once.
+ * Guards against a write applied twice: its answer is lost, the sender retries
+ * with the same condition and gets a conflict with its own value.
  */
 TEST_F(StoreCalls, ALostAnswerIsSettledBySendingItAgain)
 {
 	mode("{\"lose\": true}");
-	EXPECT_EQ(KV_ANSWER_LOST, put("mine", 0, 0, short_patience_us).outcome);
+	EXPECT_EQ(KV_ANSWER_LOST, put("mine", 0, 0, short_timeout_us).outcome);
 	mode("{\"lose\": false}");
 	answer again = put("mine", 0);
 	EXPECT_EQ(KV_CONFLICT, again.outcome);
@@ -171,15 +172,14 @@
 }
 
 /*
- * A change is neither answered nor made at first; the store makes it later.
- * The one sent again in between comes first, so the late one finds its
- * condition gone: the newer state stays.
+ * Guards against a late write that replaces a newer state: the store applies
+ * an unanswered write after its retry and a further write, so the condition of
+ * the late write no longer holds.
  */
 TEST_F(StoreCalls, ALateChangeFindsItsConditionGone)
 {
 	mode("{\"hold\": true}");
-	EXPECT_EQ(KV_ANSWER_LOST,
-		  put("first", 0, 0, short_patience_us).outcome);
+	EXPECT_EQ(KV_ANSWER_LOST, put("first", 0, 0, short_timeout_us).outcome);
 	EXPECT_EQ(KV_OK, put("first", 0).outcome);
 	EXPECT_EQ(KV_OK, put("second", get().mod_revision).outcome);
 	mode("{\"release\": true}");
@@ -201,7 +201,7 @@
 	request.op = KV_GET;
 	request.key = (char *)key;
 	mode("{\"silent\": true}");
-	EXPECT_EQ(KV_ANSWER_LOST, ask(request, short_patience_us).outcome);
+	EXPECT_EQ(KV_ANSWER_LOST, call(request, short_timeout_us).outcome);
 }
 
 TEST_F(StoreCalls, AnEarlierRevisionIsReadOnlyWhereItStillStands)
--- a/tests/store_fixture.h
+++ b/tests/store_fixture.h
@@ -9,7 +9,7 @@
 
 #include <string>
 
-/* The stand-in of the platform's store in the test's own process. */
+/* Runs a fake of the platform's store in the test's own process. */
 class StoreFixture : public ::testing::Test
 {
       protected:
@@ -37,7 +37,7 @@
 		log_destroy(log);
 	}
 
-	/* Switches are set by a call, as tests of whole processes do. */
+	/* Sets faults of the fake by HTTP, as tests of complete nodes do. */
 	void mode(const std::string &json)
 	{
 		SoupSession *session = soup_session_new();
--- a/tests/store_follower_test.cc
+++ b/tests/store_follower_test.cc
@@ -10,8 +10,7 @@
 namespace
 {
 
-/* A store behind a slow link: of an answer only the first bytes come at once.
- */
+/* A store behind a slow link: sends the start of an answer, then waits. */
 class SlowStore
 {
       public:
@@ -39,17 +38,17 @@
 		return "127.0.0.1:" + std::to_string(port);
 	}
 
-	/* The rest of the answer on the last connection. */
+	/* Sends the rest of the answer on the last connection. */
 	void finish()
 	{
-		write(last, BODY.substr(SHARE));
+		write(last, BODY.substr(FIRST_BYTES));
 	}
 
       private:
 	const std::string BODY =
 		"{\"items\":[{\"key\":\"servers/a\",\"revision\":3,"
 		"\"value\":\"b25l\"}],\"as_of\":3,\"has_more\":false}";
-	const size_t SHARE = 20;
+	const size_t FIRST_BYTES = 20;
 	GSocketService *service = g_socket_service_new();
 	GSocketConnection *last = nullptr;
 	guint16 port = 0;
@@ -72,7 +71,7 @@
 		write(came, "HTTP/1.1 200 OK\r\nContent-Length: " +
 				    std::to_string(store->BODY.size()) +
 				    "\r\n\r\n" +
-				    store->BODY.substr(0, store->SHARE));
+				    store->BODY.substr(0, store->FIRST_BYTES));
 		return TRUE;
 	}
 };
@@ -85,10 +84,10 @@
 	std::map<std::string, std::string> known;
 	int lists = 0;
 	int changes = 0;
-	int reached = 0; /* how often it was reached again */
+	int reached_count = 0; /* changes from unreachable to reached */
 	bool is_reached = false;
 	int64_t wait_ms_when_reached = -1;
-	int64_t wait_ms_of_change = -1; /* of the watch that told of it */
+	int64_t wait_ms_of_change = -1; /* of the watch that delivered it */
 
 	void SetUp() override
 	{
@@ -113,7 +112,7 @@
 		StopStore();
 	}
 
-	void take(const struct store_page *page)
+	void record(const struct store_page *page)
 	{
 		for (guint i = 0; i < page->items->len; i++) {
 			const struct store_item *item =
@@ -129,7 +128,7 @@
 		}
 	}
 
-	/* One more follower, of a store that is still to answer whole. */
+	/* Creates a follower of a store whose answer is still incomplete. */
 	struct store_follower *FollowSlow(const SlowStore &slow)
 	{
 		std::string address = slow.address();
@@ -146,7 +145,7 @@
 		StoreFollower *test = (StoreFollower *)data;
 
 		test->lists++;
-		test->take(page);
+		test->record(page);
 	}
 
 	static void on_changed(void *data, const struct store_page *page)
@@ -157,17 +156,17 @@
 		if (page->items->len > 0)
 			test->wait_ms_of_change =
 				platform_store_last_wait_ms(test->store);
-		test->take(page);
+		test->record(page);
 	}
 
-	static void on_reached(void *data, bool reached_now)
+	static void on_reached(void *data, bool reached)
 	{
 		StoreFollower *test = (StoreFollower *)data;
 
-		test->is_reached = reached_now;
-		if (!reached_now)
+		test->is_reached = reached;
+		if (!reached)
 			return;
-		test->reached++;
+		test->reached_count++;
 		test->wait_ms_when_reached =
 			platform_store_last_wait_ms(test->store);
 	}
@@ -185,10 +184,9 @@
 }
 
 /*
- * The store is away for a moment. A watch that waits long would be answered
- * after many seconds if nothing changes, and until then the node would doubt
- * what it knows and refuse what may be new: the first one after a failure is
- * answered at once.
+ * Guards against a node that doubts its entries and refuses new ones for many
+ * seconds after a short outage of the store, because a watch with a long wait
+ * is answered late if nothing changes.
  */
 TEST_F(StoreFollower, AsksAtOnceAfterAFailure)
 {
@@ -198,38 +196,40 @@
 	EXPECT_TRUE(run_until([&] { return is_reached; }));
 	EXPECT_EQ(1, wait_ms_when_reached);
 	EXPECT_EQ(1, lists);
-	EXPECT_EQ(2, reached);
+	EXPECT_EQ(2, reached_count);
 }
 
 /*
- * The store falls silent without closing anything. A watch would wait 20 s for
- * its answer and the node trust meanwhile what it knew; the probe of each
- * second finds out. That it is the probe shows by the other follower, which
- * has none and began to watch earlier.
+ * Guards against an outage that is noticed late: the store stops answering
+ * without closing connections, and a watch would wait 20 s while the node
+ * relies on old entries. The probe of each second detects it; the other
+ * follower, which sends no probes and began to watch earlier, does not.
  */
 TEST_F(StoreFollower, AProbeFindsASilentStore)
 {
-	bool close_is_reached = false;
+	bool probing_is_reached = false;
 	struct store_follower_events events = {
 		[](void *, const struct store_page *) {},
 		[](void *, const struct store_page *) {},
 		[](void *data, bool reached) { *(bool *)data = reached; },
-		&close_is_reached};
-	struct store_follower *close = store_follower_create(&options, &events);
+		&probing_is_reached};
+	struct store_follower *probing =
+		store_follower_create(&options, &events);
 
-	store_follower_watch_closely(close, true);
-	EXPECT_TRUE(run_until([&] { return close_is_reached; }));
+	store_follower_watch_closely(probing, true);
+	EXPECT_TRUE(run_until([&] { return probing_is_reached; }));
 	mode("{\"silent\": true}");
-	EXPECT_TRUE(run_until([&] { return !close_is_reached; }));
+	EXPECT_TRUE(run_until([&] { return !probing_is_reached; }));
 	EXPECT_TRUE(is_reached);
 	mode("{\"silent\": false}");
-	EXPECT_TRUE(run_until([&] { return close_is_reached; }));
-	store_follower_destroy(close);
+	EXPECT_TRUE(run_until([&] { return probing_is_reached; }));
+	store_follower_destroy(probing);
 }
 
 /*
- * The store is away, and another node looks out for it. This one waits between
- * two tries, here for minutes, and tries at once when it is told of the return.
+ * Guards against a node that stays disconnected after an outage: it retries
+ * seldom while another node retries often, here after minutes, and must retry
+ * as soon as the store's return is announced.
  */
 TEST_F(StoreFollower, WaitsPatientlyAndTriesWhenTold)
 {
@@ -237,7 +237,7 @@
 					       on_reached, this};
 
 	store_follower_destroy(follower);
-	options.patient_pause_ms = 10 * 60 * 1000;
+	options.slow_retry_ms = 10 * 60 * 1000;
 	is_reached = false;
 	follower = store_follower_create(&options, &events);
 	ASSERT_TRUE(run_until([&] { return is_reached; }));
@@ -253,7 +253,7 @@
 	EXPECT_TRUE(run_until([&] { return is_reached; }));
 }
 
-/* What changed while it rested is told when it goes on. */
+/* Changes made while the follower is inactive arrive when it continues. */
 TEST_F(StoreFollower, CatchesUpAfterARest)
 {
 	store_follower_set_active(follower, false);
@@ -264,8 +264,7 @@
 	EXPECT_TRUE(run_until([&] { return known["servers/a"] == "newer"; }));
 }
 
-/* Guards against a node that follows anew and goes by an old view of the store.
- */
+/* Guards against a node that follows again and relies on old entries. */
 TEST_F(StoreFollower, AsksAtOnceAfterARest)
 {
 	platform_store_put(store, "servers/a", "newer");
@@ -278,7 +277,7 @@
 	EXPECT_EQ(1, wait_ms_of_change);
 }
 
-/* The store has forgotten what changed since: all is read anew. */
+/* Lists all keys again if the store no longer has the changes since. */
 TEST_F(StoreFollower, ReadsAnewWhereTheHistoryIsGone)
 {
 	store_follower_set_active(follower, false);
@@ -291,7 +290,7 @@
 	EXPECT_EQ("three", known["servers/c"]);
 }
 
-/* Guards against a large configuration that is begun anew and never read. */
+/* Guards against a large document whose read is restarted and never ends. */
 TEST_F(StoreFollower, FinishesAnAnswerThatIsArriving)
 {
 	SlowStore slow;
@@ -307,7 +306,7 @@
 	store_follower_destroy(other);
 }
 
-/* Guards against a read given up for the time that a slow link takes for it. */
+/* Guards against a read aborted because a slow link takes long for it. */
 TEST_F(StoreFollower, ReadsAnAnswerThatOutlastsItsTimeout)
 {
 	const int64_t past_timeout_us =
