--- a/adapters/http_answer.c
+++ b/adapters/http_answer.c
@@ -12,28 +12,28 @@
 
 const struct http_problem http_problem_not_found = {
 	404, "not_found", "nothing is served under this path", NULL, RUN_NO, 0};
-const struct http_problem http_problem_method = {
+const struct http_problem http_problem_method_not_allowed = {
 	405,
 	"method_not_allowed",
 	"this path does not take this method",
 	NULL,
 	RUN_NO,
 	0};
-const struct http_problem http_problem_header = {
+const struct http_problem http_problem_header_too_large = {
 	STATUS_HEADER_TOO_LARGE,
 	"header_too_large",
 	"the request's headers are over the limit",
 	NULL,
 	RUN_NO,
 	0};
-const struct http_problem http_problem_connections = {
+const struct http_problem http_problem_too_many_connections = {
 	503,
 	"too_many_connections",
 	"the node has as many connections as it takes",
 	NULL,
 	RUN_NO,
 	BUSY_RETRY_US};
-const struct http_problem http_problem_bodies = {
+const struct http_problem http_problem_too_many_bytes = {
 	503,
 	"too_many_bytes",
 	"the node holds as many bytes of requests as it takes",
@@ -42,15 +42,17 @@
 	BUSY_RETRY_US};
 const struct http_problem http_problem_operator_key = {
 	401, "unauthorized", "the operator key is wrong", NULL, RUN_NO, 0};
-const struct http_problem http_problem_operators_closed = {
+const struct http_problem http_problem_operators_disabled = {
 	403, "forbidden", "this node takes no operator calls", NULL, RUN_NO, 0};
 const struct http_problem http_problem_operator_name = {
 	400,  "bad_request", "X-Operator must name the operator",
 	NULL, RUN_NO,	     0};
 
-/* The problem that a refusal of the core is to its caller. */
-struct http_problem http_problem_of(enum refusal refusal, enum run run,
-				    int64_t retry_after_us, const char *detail)
+/* Converts a refusal of the core. The result borrows detail. */
+struct http_problem http_problem_from_refusal(enum refusal refusal,
+					      enum run run,
+					      int64_t retry_after_us,
+					      const char *detail)
 {
 	struct http_problem problem = {
 		.status = refusal_status(refusal),
@@ -77,7 +79,7 @@
 	return message;
 }
 
-/* {"error":{...}} on one line; freed by the caller. */
+/* Returns {"error":{...}} on one line; the caller frees it. */
 char *http_problem_json(const struct http_problem *problem)
 {
 	JsonBuilder *builder = json_builder_new_immutable();
@@ -99,17 +101,17 @@
 	return json_writer_take_text(builder);
 }
 
-/* Rounded up: a caller that comes back a moment early is refused again. */
+/* Rounds up, because a caller that retries too early is refused again. */
 static int64_t problem_retry_s(const struct http_problem *problem)
 {
 	return (problem->retry_after_us + US_PER_S - 1) / US_PER_S;
 }
 
 /*
- * The whole answer as bytes, for a connection that is closed before a request
- * was read from it; freed by the caller.
+ * Returns the complete HTTP response as text, for a connection that is closed
+ * before a request was read from it. The caller frees it.
  */
-char *http_problem_raw(const struct http_problem *problem)
+char *http_problem_format_response(const struct http_problem *problem)
 {
 	char *body = http_problem_json(problem);
 	char *raw = g_strdup_printf(
@@ -123,7 +125,7 @@
 	return raw;
 }
 
-/* Answers with the problem's status, JSON body and Retry-After. */
+/* Sets the problem's status, JSON body and Retry-After as the answer. */
 void http_answer_problem(SoupServerMessage *message,
 			 const struct http_problem *problem)
 {
@@ -144,7 +146,7 @@
 	g_bytes_unref(body);
 }
 
-/* Sets a whole answer; the caller unpauses the message. */
+/* Sets a complete answer. The caller unpauses the message. */
 void http_answer_bytes(SoupServerMessage *message, int32_t status,
 		       const char *content_type, GBytes *body)
 {
@@ -162,8 +164,8 @@
 	soup_message_body_complete(out);
 }
 
-/* Names the call in the answer, so that a caller can quote it. */
-void http_answer_number(SoupServerMessage *message, uint64_t call)
+/* Adds the call's number as X-Request-Id, so that a caller can quote it. */
+void http_answer_set_request_id(SoupServerMessage *message, uint64_t call)
 {
 	char *text = g_strdup_printf("%" G_GUINT64_FORMAT, call);
 
--- a/adapters/http_body.c
+++ b/adapters/http_body.c
@@ -12,13 +12,13 @@
 #define FNV_OFFSET UINT64_C(14695981039346656037)
 #define FNV_PRIME UINT64_C(1099511628211)
 
-/* What of the prompt matters here: how long it is and how it starts. */
+/* Length of a prompt and its first PREFIX_BYTES bytes. */
 struct prompt {
 	size_t bytes;
 	GString *prefix;
 };
 
-/* 64-bit FNV-1a; never 0, which stands for no prefix. */
+/* Returns the 64-bit FNV-1a hash; never 0, because 0 means no prefix. */
 uint64_t http_body_hash(const char *text, size_t length)
 {
 	uint64_t hash = FNV_OFFSET;
@@ -33,10 +33,11 @@
 static void prompt_add(struct prompt *prompt, const char *text)
 {
 	size_t length = strlen(text);
-	size_t room = PREFIX_BYTES - prompt->prefix->len;
+	size_t free_bytes = PREFIX_BYTES - prompt->prefix->len;
 
 	prompt->bytes += length;
-	g_string_append_len(prompt->prefix, text, (gssize)MIN(length, room));
+	g_string_append_len(prompt->prefix, text,
+			    (gssize)MIN(length, free_bytes));
 }
 
 static bool node_is_string(JsonNode *node)
@@ -51,7 +52,7 @@
 	       json_node_get_value_type(node) == G_TYPE_INT64;
 }
 
-/* A prompt is a string, or an array of strings or of token numbers. */
+/* Adds a prompt: a string, or an array of strings or of token numbers. */
 static bool prompt_add_node(struct prompt *prompt, JsonNode *node)
 {
 	JsonArray *array;
@@ -76,7 +77,7 @@
 	return true;
 }
 
-/* The content of a message is a string or an array of typed parts. */
+/* Adds the content of a message: a string or an array of typed parts. */
 static bool prompt_add_content(struct prompt *prompt, JsonNode *content)
 {
 	JsonArray *parts;
@@ -220,8 +221,8 @@
 }
 
 /*
- * Fills service, stream, max_tokens, prompt_tokens and prefix_hash from the
- * request's body. False with ERROR_INVALID where the body is malformed.
+ * Sets service, stream, max_tokens, prompt_tokens and prefix_hash from the
+ * request's body. Returns false with ERROR_INVALID if the body is malformed.
  */
 bool http_body_read(struct request *request, struct error *error)
 {
--- a/adapters/http_body.h
+++ b/adapters/http_body.h
@@ -10,8 +10,8 @@
 G_BEGIN_DECLS
 
 /*
- * The JSON body of /v1/completions and /v1/chat/completions: what a node has
- * to know of it. The body itself is passed on verbatim.
+ * Reads the fields that a node needs from the JSON body of /v1/completions and
+ * /v1/chat/completions. The body itself is forwarded unchanged.
  */
 bool http_body_read(struct request *request, struct error *error);
 uint64_t http_body_hash(const char *text, size_t length);
--- a/adapters/http_call.c
+++ b/adapters/http_call.c
@@ -12,11 +12,11 @@
 	bool begun;
 	bool chat;
 	int64_t collect_bytes;
-	struct http_stream *stream;   /* NULL: one JSON object is asked for */
+	struct http_stream *stream;   /* NULL: answer by one JSON object */
 	struct http_collect *collect; /* NULL before the first chunk */
 	gulong finished_handler;
-	GSource *watch; /* of the socket, for callers that close early */
-	void (*gone)(void *data, uint64_t number);
+	GSource *watch; /* of the socket, to detect a disconnect */
+	void (*disconnected)(void *data, uint64_t number);
 	void (*flow)(void *data, uint64_t number, bool full);
 	void *data;
 };
@@ -26,7 +26,7 @@
 	struct http_call *call = data;
 
 	(void)message;
-	call->gone(call->data, call->number);
+	call->disconnected(call->data, call->number);
 }
 
 static void call_flow(void *data, bool full)
@@ -36,7 +36,7 @@
 	call->flow(call->data, call->number, full);
 }
 
-/* Lets libsoup find the closed socket, so that it drops the message. */
+/* Makes libsoup write to the closed socket, so that it drops the message. */
 static void call_abandon(struct http_call *call)
 {
 	if (!call->begun)
@@ -48,10 +48,10 @@
 }
 
 /*
- * libsoup does not look at the socket of a paused message, so a caller that
- * closes while it waits would go unnoticed and its request would run on. An
- * end of file is taken as gone; bytes of a pipelined request end the watch,
- * because the socket stays readable until libsoup takes them.
+ * libsoup does not poll the socket of a paused message, so without this watch
+ * a disconnect of a waiting caller would go unnoticed and its request would
+ * continue. End of file counts as a disconnect. Bytes of a pipelined request
+ * end the watch, because the socket stays readable until libsoup reads them.
  */
 static gboolean call_socket_ready(GSocket *socket, GIOCondition condition,
 				  gpointer data)
@@ -76,7 +76,7 @@
 		return G_SOURCE_REMOVE;
 	g_socket_shutdown(socket, TRUE, TRUE, NULL);
 	call_abandon(call);
-	call->gone(call->data, call->number);
+	call->disconnected(call->data, call->number);
 	return G_SOURCE_REMOVE;
 }
 
@@ -93,7 +93,7 @@
 	g_source_attach(call->watch, g_main_context_get_thread_default());
 }
 
-/* Pauses the message until the call is answered. */
+/* Creates a call and pauses its message until the call is answered. */
 struct http_call *http_call_create(const struct http_call_options *options)
 {
 	struct http_call *call = g_new0(struct http_call, 1);
@@ -109,20 +109,20 @@
 	call->message = g_object_ref(options->message);
 	call->chat = options->chat;
 	call->collect_bytes = options->collect_bytes;
-	call->gone = options->gone;
+	call->disconnected = options->disconnected;
 	call->flow = options->flow;
 	call->data = options->data;
 	if (options->stream)
 		call->stream = http_stream_create(&stream);
 	call->finished_handler = g_signal_connect(
 		call->message, "finished", G_CALLBACK(call_finished), call);
-	http_answer_number(call->message, call->number);
+	http_answer_set_request_id(call->message, call->number);
 	soup_server_message_pause(call->message);
 	call_watch_socket(call);
 	return call;
 }
 
-/* Frees the call; what was answered is still sent. NULL is allowed. */
+/* Frees the call; an answer already set is still sent. NULL is allowed. */
 void http_call_destroy(struct http_call *call)
 {
 	if (!call)
@@ -146,7 +146,7 @@
 	return true;
 }
 
-/* A whole answer. */
+/* Sends a complete answer. Returns true: the call has ended. */
 bool http_call_answer(struct http_call *call,
 		      const struct action_call_answer *answer)
 {
@@ -160,13 +160,16 @@
 	return true;
 }
 
-/* A refusal, or the error that ends a stream which has begun. */
+/*
+ * Sends a refusal, or an error event if the stream has begun. Returns true: the
+ * call has ended.
+ */
 bool http_call_refuse(struct http_call *call,
 		      const struct action_call_refuse *refuse)
 {
-	struct http_problem problem =
-		http_problem_of(refuse->refusal, refuse->run,
-				refuse->retry_after_us, refuse->detail);
+	struct http_problem problem = http_problem_from_refusal(
+		refuse->refusal, refuse->run, refuse->retry_after_us,
+		refuse->detail);
 
 	if (call->stream && call->begun) {
 		http_stream_end_problem(call->stream, &problem);
@@ -175,7 +178,7 @@
 	return call_answer_problem(call, &problem);
 }
 
-/* The stream starts: status and headers are sent. */
+/* Marks the answer as begun and sends the status and headers of a stream. */
 void http_call_begin(struct http_call *call)
 {
 	if (call->begun)
@@ -194,13 +197,16 @@
 			http_collect_create(call->chat, call->collect_bytes);
 	if (http_collect_add(call->collect, data))
 		return false;
-	problem = http_problem_of(
+	problem = http_problem_from_refusal(
 		REFUSAL_ENDPOINT_FAILED, RUN_YES, 0,
 		"its answer is malformed, or too large to send as one object");
 	return call_answer_problem(call, &problem);
 }
 
-/* One chunk; true where it ended the call because it cannot be collected. */
+/*
+ * Sends or collects one chunk. Returns true if the chunk could not be collected
+ * and the call was therefore ended by a refusal.
+ */
 bool http_call_chunk(struct http_call *call,
 		     const struct action_call_chunk *chunk)
 {
@@ -228,10 +234,13 @@
 	return true;
 }
 
-/* The end, whole or not. */
+/*
+ * Ends the call: with a complete answer, or with an error if end->refusal is
+ * set. Returns true: the call has ended.
+ */
 bool http_call_end(struct http_call *call, const struct action_call_end *end)
 {
-	struct http_problem problem = http_problem_of(
+	struct http_problem problem = http_problem_from_refusal(
 		end->refusal, end->run, end->retry_after_us, NULL);
 
 	if (end->refusal != REFUSAL_NONE) {
@@ -243,7 +252,7 @@
 	if (!call->stream)
 		return call_end_collected(call, end);
 	http_call_begin(call);
-	http_stream_end_whole(call->stream, end->token_count,
-			      end->finish_reason);
+	http_stream_end_complete(call->stream, end->token_count,
+				 end->finish_reason);
 	return true;
 }
--- a/adapters/http_call.h
+++ b/adapters/http_call.h
@@ -12,8 +12,8 @@
 G_BEGIN_DECLS
 
 /*
- * One caller's open exchange. It ends exactly once: by a whole answer, by a
- * refusal, by the end of its stream, or because the caller has gone.
+ * One open exchange with a caller. It ends exactly once: by a complete answer,
+ * by a refusal, by the end of its stream, or because the caller disconnected.
  */
 struct http_call_options {
 	uint64_t number;
@@ -22,7 +22,7 @@
 	bool chat;
 	int64_t stream_buffer_bytes;
 	int64_t collect_bytes;
-	void (*gone)(void *data, uint64_t number);
+	void (*disconnected)(void *data, uint64_t number);
 	void (*flow)(void *data, uint64_t number, bool full);
 	void *data;
 };
@@ -32,7 +32,7 @@
 struct http_call *http_call_create(const struct http_call_options *options);
 void http_call_destroy(struct http_call *call);
 
-/* True where the action ended the call: it is then to be destroyed. */
+/* A result of true means that the action ended the call: destroy it then. */
 bool http_call_answer(struct http_call *call,
 		      const struct action_call_answer *answer);
 bool http_call_refuse(struct http_call *call,
--- a/adapters/http_collect.c
+++ b/adapters/http_collect.c
@@ -16,7 +16,7 @@
 	GString *choices[CHOICES_MAX];
 };
 
-/* An empty buffer that takes bytes_max bytes of text. */
+/* Creates an empty buffer for up to bytes_max bytes of text. */
 struct http_collect *http_collect_create(bool chat, int64_t bytes_max)
 {
 	struct http_collect *collect = g_new0(struct http_collect, 1);
@@ -104,7 +104,7 @@
 	return true;
 }
 
-/* Adds one chunk. False where it is malformed or the buffer is full. */
+/* Adds one chunk. Returns false if it is malformed or the buffer is full. */
 bool http_collect_add(struct http_collect *collect, GBytes *data)
 {
 	struct error error;
@@ -134,7 +134,7 @@
 	json_builder_end_object(builder);
 }
 
-/* The whole answer as one JSON object. */
+/* Returns the complete answer as one JSON object; the caller unrefs it. */
 GBytes *http_collect_finish(struct http_collect *collect, uint64_t call,
 			    int64_t token_count, const char *finish_reason)
 {
--- a/adapters/http_collect.h
+++ b/adapters/http_collect.h
@@ -8,8 +8,8 @@
 G_BEGIN_DECLS
 
 /*
- * The chunks of a generation whose caller asked for one JSON object, joined in
- * a bounded buffer.
+ * Joins the chunks of a generation in a bounded buffer, for a caller that
+ * requested one JSON object instead of a stream.
  */
 struct http_collect;
 
--- a/adapters/http_exchange.c
+++ b/adapters/http_exchange.c
@@ -2,9 +2,9 @@
 
 #define READ_BYTES 4096
 #define CONNECTIONS_MAX 100000
-#define IDLE_CLOSE_S 30
+#define IDLE_TIMEOUT_S 30
 #define US_PER_MS 1000
-#define SESSIONS 128
+#define SESSION_COUNT 128
 
 struct http_exchange {
 	SoupSession *session;
@@ -20,10 +20,10 @@
 	gulong starting_handler;
 	guint connect_source;
 	guint answer_source;
-	bool may_have_left;
+	bool may_be_sent;
 	bool paused;
-	bool closed;	   /* no more callbacks */
-	int64_t got_bytes; /* of the answer's body */
+	bool closed;		/* no more callbacks */
+	int64_t received_bytes; /* of the body */
 	char buffer[READ_BYTES];
 };
 
@@ -60,7 +60,7 @@
 	g_free(exchange->peer);
 }
 
-/* Held while open, by each pending operation and by each callback. */
+/* References: one while open, one per pending operation and callback. */
 static void exchange_ref(struct http_exchange *exchange)
 {
 	g_rc_box_acquire(exchange);
@@ -79,7 +79,7 @@
 	exchange_unref(exchange);
 }
 
-/* Ends without a callback; the connection is closed. NULL is allowed. */
+/* Cancels without a callback and closes the connection. NULL is allowed. */
 void http_exchange_cancel(struct http_exchange *exchange)
 {
 	if (!exchange || exchange->closed)
@@ -101,7 +101,7 @@
 static enum error_code exchange_error_code(const struct http_exchange *exchange,
 					   const GError *problem)
 {
-	if (!exchange->may_have_left)
+	if (!exchange->may_be_sent)
 		return ERROR_UNREACHABLE;
 	if (g_error_matches(problem, G_IO_ERROR, G_IO_ERROR_TIMED_OUT))
 		return ERROR_TIMEOUT;
@@ -132,11 +132,11 @@
 }
 
 /*
- * libsoup forgives an answer that is shorter than its Content-Length where
- * the connection was to be closed anyway; passed on, half of an answer would
- * be taken for the whole.
+ * libsoup accepts an answer that is shorter than its Content-Length if the
+ * connection was to be closed after it. Forwarded, a truncated answer would be
+ * taken for a complete one.
  */
-static bool exchange_is_short(const struct http_exchange *exchange)
+static bool exchange_is_truncated(const struct http_exchange *exchange)
 {
 	SoupMessageHeaders *headers =
 		soup_message_get_response_headers(exchange->message);
@@ -144,20 +144,20 @@
 	return exchange_has_body(exchange) &&
 	       soup_message_headers_get_encoding(headers) ==
 		       SOUP_ENCODING_CONTENT_LENGTH &&
-	       exchange->got_bytes <
+	       exchange->received_bytes <
 		       soup_message_headers_get_content_length(headers);
 }
 
-static void exchange_got_end(struct http_exchange *exchange)
+static void exchange_got_eof(struct http_exchange *exchange)
 {
 	struct error error;
 
-	if (!exchange_is_short(exchange)) {
+	if (!exchange_is_truncated(exchange)) {
 		exchange_end(exchange, NULL);
 		return;
 	}
 	error_set(&error, ERROR_CLOSED, exchange->step, exchange->peer,
-		  "the answer is shorter than its length");
+		  "the answer is shorter than its Content-Length");
 	exchange_end(exchange, &error);
 }
 
@@ -174,9 +174,9 @@
 	} else if (got < 0) {
 		exchange_fail(exchange, problem);
 	} else if (got == 0) {
-		exchange_got_end(exchange);
+		exchange_got_eof(exchange);
 	} else {
-		exchange->got_bytes += got;
+		exchange->received_bytes += got;
 		exchange->bytes(exchange->data, exchange->buffer, (size_t)got);
 	}
 	if (!exchange->closed && !exchange->paused)
@@ -196,8 +196,9 @@
 }
 
 /*
- * An answer that ends when the connection does cannot be told from one that
- * was cut short; passed on, half of it would be taken for the whole.
+ * An answer that ends with its connection cannot be distinguished from a
+ * truncated one. Forwarded, a truncated answer would be taken for a complete
+ * one.
  */
 static bool exchange_has_framing(struct http_exchange *exchange)
 {
@@ -222,8 +223,9 @@
 	} else if (!exchange->input) {
 		exchange_fail(exchange, problem);
 	} else if (!exchange_has_framing(exchange)) {
-		error_set(&error, ERROR_INVALID, exchange->step, exchange->peer,
-			  "the answer has neither a length nor chunks");
+		error_set(
+			&error, ERROR_INVALID, exchange->step, exchange->peer,
+			"the answer has no Content-Length and is not chunked");
 		exchange_end(exchange, &error);
 	} else {
 		exchange->headers(exchange->data, exchange->message);
@@ -234,41 +236,41 @@
 }
 
 /*
- * Emitted before the first byte of the request is written: what fails earlier
- * was certainly not sent.
+ * libsoup emits "starting" before it writes the first byte of the request. If
+ * the exchange fails earlier, the request was certainly not sent.
  */
 static void exchange_starting(SoupMessage *message, gpointer data)
 {
 	struct http_exchange *exchange = data;
 
 	(void)message;
-	exchange->may_have_left = true;
+	exchange->may_be_sent = true;
 	if (exchange->connect_source)
 		g_source_remove(exchange->connect_source);
 	exchange->connect_source = 0;
 }
 
-static gboolean exchange_connect_late(gpointer data)
+static gboolean exchange_connect_timed_out(gpointer data)
 {
 	struct http_exchange *exchange = data;
 	struct error error;
 
 	exchange->connect_source = 0;
 	error_set(&error, ERROR_UNREACHABLE, exchange->step, exchange->peer,
-		  "no connection in time");
+		  "the connect timeout expired");
 	exchange_end(exchange, &error);
 	return G_SOURCE_REMOVE;
 }
 
-static gboolean exchange_answer_late(gpointer data)
+static gboolean exchange_answer_timed_out(gpointer data)
 {
 	struct http_exchange *exchange = data;
 	struct error error;
 
 	exchange->answer_source = 0;
 	error_set(&error,
-		  exchange->may_have_left ? ERROR_TIMEOUT : ERROR_UNREACHABLE,
-		  exchange->step, exchange->peer, "no whole answer in time");
+		  exchange->may_be_sent ? ERROR_TIMEOUT : ERROR_UNREACHABLE,
+		  exchange->step, exchange->peer, "the answer timeout expired");
 	exchange_end(exchange, &error);
 	return G_SOURCE_REMOVE;
 }
@@ -279,14 +281,14 @@
 	if (options->connect_timeout_ms > 0)
 		exchange->connect_source =
 			g_timeout_add((guint)options->connect_timeout_ms,
-				      exchange_connect_late, exchange);
+				      exchange_connect_timed_out, exchange);
 	if (options->answer_timeout_us > 0)
 		exchange->answer_source = g_timeout_add(
 			(guint)(options->answer_timeout_us / US_PER_MS + 1),
-			exchange_answer_late, exchange);
+			exchange_answer_timed_out, exchange);
 }
 
-/* Sends the message; no callback comes before the loop runs again. */
+/* Sends the message. No callback runs before the main loop does. */
 struct http_exchange *
 http_exchange_start(const struct http_exchange_options *options)
 {
@@ -313,8 +315,9 @@
 }
 
 /*
- * Stops or goes on reading. While paused the socket's buffer fills and the
- * peer is held up by it; one piece that is already read still arrives.
+ * Pauses or resumes reading. While paused, the socket's buffer fills and TCP
+ * flow control stops the peer. A read that is already pending still delivers
+ * one piece.
  */
 void http_exchange_pause(struct http_exchange *exchange, bool pause)
 {
@@ -323,21 +326,22 @@
 		exchange_read(exchange);
 }
 
-/* False: no byte of the request can have reached the peer. */
+/* Returns false if no byte of the request can have reached the peer. */
 bool http_exchange_may_have_left(const struct http_exchange *exchange)
 {
-	return exchange->may_have_left;
+	return exchange->may_be_sent;
 }
 
 /*
- * A session without proxies, cookies, authentication and decoding: the peers
- * are named by IP number and their bytes are passed on as they are.
+ * Creates a session without proxies, cookies, authentication and content
+ * decoding, because peers are addressed by IP address and their bytes are
+ * forwarded unchanged. The caller unrefs it.
  */
 SoupSession *http_exchange_session_create(void)
 {
 	SoupSession *session = soup_session_new_with_options(
 		"max-conns", CONNECTIONS_MAX, "max-conns-per-host",
-		CONNECTIONS_MAX, "idle-timeout", IDLE_CLOSE_S, "timeout", 0,
+		CONNECTIONS_MAX, "idle-timeout", IDLE_TIMEOUT_S, "timeout", 0,
 		"user-agent", "siskinlink", NULL);
 
 	soup_session_set_proxy_resolver(session, NULL);
@@ -347,37 +351,38 @@
 }
 
 /*
- * A session goes through all its messages whenever one of them starts or ends,
- * open streams included. With one session for all, a node with a thousand
- * streams would spend its time on that and connect to nobody for seconds.
+ * A libsoup session iterates over all its messages, open streams included,
+ * whenever one of them starts or ends. With a single session, a node with a
+ * thousand streams would spend its time on this and would open no connection
+ * for seconds.
  */
 struct http_sessions {
-	SoupSession *sessions[SESSIONS];
+	SoupSession *sessions[SESSION_COUNT];
 	uint32_t next;
 };
 
-/* A set of sessions, none of them made before it is used. */
+/* Creates a pool. Each session is created at its first use. */
 struct http_sessions *http_sessions_create(void)
 {
 	return g_new0(struct http_sessions, 1);
 }
 
-/* Lets the sessions go; exchanges keep theirs. NULL is allowed. */
+/* Unrefs the sessions; exchanges keep their own reference. NULL is allowed. */
 void http_sessions_destroy(struct http_sessions *sessions)
 {
 	if (!sessions)
 		return;
-	for (size_t i = 0; i < SESSIONS; i++)
+	for (size_t i = 0; i < SESSION_COUNT; i++)
 		g_clear_object(&sessions->sessions[i]);
 	g_free(sessions);
 }
 
-/* The session for the next exchange; owned by the set. */
+/* Returns the sessions in turn. The pool owns the session. */
 SoupSession *http_sessions_next(struct http_sessions *sessions)
 {
 	SoupSession **session = &sessions->sessions[sessions->next];
 
-	sessions->next = (sessions->next + 1) % SESSIONS;
+	sessions->next = (sessions->next + 1) % SESSION_COUNT;
 	if (!*session)
 		*session = http_exchange_session_create();
 	return *session;
--- a/adapters/http_exchange.h
+++ b/adapters/http_exchange.h
@@ -12,10 +12,11 @@
 G_BEGIN_DECLS
 
 /*
- * One request to a peer and its answer, read piece by piece. The callbacks
- * come from the loop: headers once, bytes for each piece, ended once; none
- * after ended or after http_exchange_cancel, which may be called from inside
- * them. The handle is invalid after either.
+ * One request to a peer and its answer, which is read in pieces. The callbacks
+ * run from the main loop: headers once, bytes for each piece, ended once. None
+ * runs after ended or after http_exchange_cancel, which a callback may call.
+ * The handle is invalid after either. The error passed to ended is NULL if the
+ * answer is complete.
  */
 struct http_exchange;
 
@@ -24,11 +25,11 @@
 	SoupMessage *message; /* referenced */
 	const char *step;     /* static; for errors */
 	const char *peer;
-	int64_t connect_timeout_ms; /* until the request starts to leave */
+	int64_t connect_timeout_ms; /* until sending starts */
 	int64_t answer_timeout_us;  /* until ended; 0: none */
 	void (*headers)(void *data, SoupMessage *message);
 	void (*bytes)(void *data, const char *bytes, size_t length);
-	void (*ended)(void *data, const struct error *error); /* NULL: whole */
+	void (*ended)(void *data, const struct error *error);
 	void *data;
 };
 
@@ -40,7 +41,7 @@
 
 SoupSession *http_exchange_session_create(void);
 
-/* Sessions that share the exchanges among them: see the source. */
+/* A pool of sessions, over which the exchanges are spread. */
 struct http_sessions;
 
 struct http_sessions *http_sessions_create(void);
--- a/adapters/http_listener.c
+++ b/adapters/http_listener.c
@@ -8,36 +8,36 @@
 #include <sys/socket.h>
 
 #define LISTEN_BACKLOG 512
-#define SWEEPS_PER_IDLE 8
-#define IDLES_PER_UPLOAD 10 /* a request may take so many to arrive */
+#define SWEEPS_PER_IDLE_TIMEOUT 8
+#define UPLOAD_IDLE_TIMEOUTS 10 /* time for a request, in idle timeouts */
 #define US_PER_MS 1000
-#define SILENT_CLOSE_MS 60000
-#define PROBE_AFTER_S 20
-#define PROBE_EVERY_S 10
-#define REFUSED_MAX 64 /* refused connections that still drain */
+#define UNACKNOWLEDGED_CLOSE_MS 60000
+#define KEEPALIVE_IDLE_S 20
+#define KEEPALIVE_INTERVAL_S 10
+#define REFUSED_MAX 64 /* refused connections that are still read */
 #define REFUSED_DRAIN_BYTES 65536
 #define REFUSED_TIMEOUT_S 1
 #define CONNECTION_KEY "siskinlink-connection"
 
 /*
- * Lives as long as its socket. libsoup names the socket of a message only
- * where it accepted the connection itself, but it hands back the very address
- * it was given: the connection is found by that.
+ * Lives as long as its socket. libsoup returns the socket of a message only if
+ * it accepted the connection itself. It does return the same address object
+ * that it was given, so the connection is attached to that object.
  */
 struct connection {
-	struct http_listener *listener; /* NULL once that is gone */
+	struct http_listener *listener; /* NULL once destroyed */
 	GSocket *socket;		/* not referenced */
 	GSocketAddress *remote;
 	int32_t call_count;
 	int64_t accepted_at_us;
-	int64_t moved_at_us;
+	int64_t active_at_us;
 };
 
 struct http_listener {
 	GSocketService *service;
 	char *address;
 	int64_t max_connections;
-	int64_t idle_close_us;
+	int64_t idle_timeout_us;
 	int32_t send_buffer_bytes;
 	void (*accept)(void *data, GSocketConnection *connection,
 		       GSocketAddress *local, GSocketAddress *remote);
@@ -78,7 +78,7 @@
 	connection->remote = g_object_ref(remote);
 	g_object_set_data(G_OBJECT(remote), CONNECTION_KEY, connection);
 	connection->accepted_at_us = g_get_monotonic_time();
-	connection->moved_at_us = connection->accepted_at_us;
+	connection->active_at_us = connection->accepted_at_us;
 	g_hash_table_add(listener->connections, connection);
 	g_object_set_data_full(G_OBJECT(socket), CONNECTION_KEY, connection,
 			       connection_free);
@@ -98,9 +98,9 @@
 }
 
 /*
- * Answers by a refusal. What the caller sent is read once before the socket
- * is closed: closing on unread bytes resets the connection, and the caller
- * would see that in place of the answer.
+ * Answers by a refusal. The socket is read once before it is closed, because
+ * closing it with unread bytes resets the connection and the caller would see
+ * the reset instead of the answer. Above REFUSED_MAX, closes without an answer.
  */
 static void listener_refuse(struct http_listener *listener,
 			    GSocketConnection *connection)
@@ -110,7 +110,7 @@
 
 	if (g_hash_table_size(listener->refused) >= REFUSED_MAX)
 		return;
-	raw = http_problem_raw(&http_problem_connections);
+	raw = http_problem_format_response(&http_problem_too_many_connections);
 	g_socket_set_blocking(socket, FALSE);
 	g_socket_set_timeout(socket, REFUSED_TIMEOUT_S);
 	g_socket_send(socket, raw, strlen(raw), NULL, NULL);
@@ -125,15 +125,15 @@
 		g_object_ref(connection));
 }
 
-static void listener_take(struct http_listener *listener,
-			  GSocketConnection *connection)
+static void listener_adopt(struct http_listener *listener,
+			   GSocketConnection *connection)
 {
 	GSocket *socket = g_socket_connection_get_socket(connection);
 	GSocketAddress *local = g_socket_get_local_address(socket, NULL);
 	GSocketAddress *peer = g_socket_get_remote_address(socket, NULL);
 	GSocketAddress *remote;
 
-	/* A connection that is gone already has no addresses any more. */
+	/* A connection that is already closed has no addresses. */
 	if (local && peer) {
 		remote = address_copy(peer);
 		listener_add(listener, socket, remote);
@@ -145,21 +145,23 @@
 }
 
 /*
- * A caller whose link stalls without closing, or who reads nothing for so
- * long, would hold its connection and its generation's memory for good. The
- * kernel ends the connection when nothing sent was taken in that time, or a
- * waiting caller answers no probe; a slow reader takes something and stays.
+ * Without these options a caller whose link stalls without closing, or that
+ * stops reading, would hold its connection and its generation's memory for
+ * ever. The kernel closes the connection if the caller acknowledges no sent
+ * data within UNACKNOWLEDGED_CLOSE_MS, or if a waiting caller answers no
+ * keepalive probe. A slow reader acknowledges some data and keeps its
+ * connection.
  */
 static void listener_set_options(const struct http_listener *listener,
 				 GSocket *socket)
 {
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
-			    SILENT_CLOSE_MS, NULL);
-	g_socket_set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, PROBE_AFTER_S,
-			    NULL);
-	g_socket_set_option(socket, IPPROTO_TCP, TCP_KEEPINTVL, PROBE_EVERY_S,
+			    UNACKNOWLEDGED_CLOSE_MS, NULL);
+	g_socket_set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S,
 			    NULL);
+	g_socket_set_option(socket, IPPROTO_TCP, TCP_KEEPINTVL,
+			    KEEPALIVE_INTERVAL_S, NULL);
 	g_socket_set_keepalive(socket, TRUE);
 	if (listener->send_buffer_bytes > 0)
 		g_socket_set_option(socket, SOL_SOCKET, SO_SNDBUF,
@@ -181,7 +183,7 @@
 		return TRUE;
 	}
 	listener_set_options(listener, socket);
-	listener_take(listener, connection);
+	listener_adopt(listener, connection);
 	return TRUE;
 }
 
@@ -190,15 +192,16 @@
 {
 	if (connection->call_count > 0)
 		return false;
-	return now_us - connection->moved_at_us > idle_us ||
-	       now_us - connection->accepted_at_us > idle_us * IDLES_PER_UPLOAD;
+	return now_us - connection->active_at_us > idle_us ||
+	       now_us - connection->accepted_at_us >
+		       idle_us * UPLOAD_IDLE_TIMEOUTS;
 }
 
 /*
- * Closes connections without a call on which nothing moved for a while, or
- * whose request takes too long to arrive. Without this a caller that opens
- * connections and sends nothing, or a request byte by byte, takes all of them
- * for good.
+ * Closes connections without a call that had no traffic for the idle timeout,
+ * or whose request takes too long to arrive. Otherwise a caller that opens
+ * connections and sends nothing, or a request byte by byte, could occupy all
+ * connections for ever.
  */
 static gboolean listener_sweep(gpointer data)
 {
@@ -211,7 +214,7 @@
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		const struct connection *connection = key;
 
-		if (connection_is_idle(connection, listener->idle_close_us,
+		if (connection_is_idle(connection, listener->idle_timeout_us,
 				       now_us))
 			g_socket_shutdown(connection->socket, TRUE, TRUE, NULL);
 	}
@@ -234,7 +237,7 @@
 	}
 	if (!parsed)
 		error_set(error, ERROR_INVALID, "http.listen", address,
-			  "expected an IP number and a port");
+			  "expected an IP address and a port");
 	return parsed;
 }
 
@@ -253,31 +256,31 @@
 static bool listener_bind(struct http_listener *listener, const char *address,
 			  struct error *error)
 {
-	GSocketAddress *wanted = address_parse(address, error);
+	GSocketAddress *requested = address_parse(address, error);
 	GSocketAddress *effective = NULL;
 	GError *problem = NULL;
 
-	if (!wanted)
+	if (!requested)
 		return false;
 	g_socket_listener_set_backlog(G_SOCKET_LISTENER(listener->service),
 				      LISTEN_BACKLOG);
 	if (!g_socket_listener_add_address(G_SOCKET_LISTENER(listener->service),
-					   wanted, G_SOCKET_TYPE_STREAM,
+					   requested, G_SOCKET_TYPE_STREAM,
 					   G_SOCKET_PROTOCOL_TCP, NULL,
 					   &effective, &problem)) {
 		error_set(error, ERROR_INTERNAL, "http.listen", address, "%s",
 			  problem->message);
 		g_error_free(problem);
-		g_object_unref(wanted);
+		g_object_unref(requested);
 		return false;
 	}
 	listener->address = address_format(effective);
 	g_object_unref(effective);
-	g_object_unref(wanted);
+	g_object_unref(requested);
 	return true;
 }
 
-/* Listens at once; NULL with the reason where the address cannot be had. */
+/* Starts to listen. Returns NULL and sets error if the bind fails. */
 struct http_listener *
 http_listener_create(const struct http_listener_options *options,
 		     struct error *error)
@@ -286,7 +289,7 @@
 
 	listener->service = g_socket_service_new();
 	listener->max_connections = options->max_connections;
-	listener->idle_close_us = options->idle_close_ms * US_PER_MS;
+	listener->idle_timeout_us = options->idle_timeout_ms * US_PER_MS;
 	listener->send_buffer_bytes = options->send_buffer_bytes;
 	listener->accept = options->accept;
 	listener->data = options->data;
@@ -298,14 +301,14 @@
 	}
 	g_signal_connect(listener->service, "incoming",
 			 G_CALLBACK(listener_incoming), listener);
-	listener->sweep_source =
-		g_timeout_add((guint)(options->idle_close_ms / SWEEPS_PER_IDLE),
-			      listener_sweep, listener);
+	listener->sweep_source = g_timeout_add(
+		(guint)(options->idle_timeout_ms / SWEEPS_PER_IDLE_TIMEOUT),
+		listener_sweep, listener);
 	g_socket_service_start(listener->service);
 	return listener;
 }
 
-static void listener_forget(struct http_listener *listener)
+static void listener_detach_connections(struct http_listener *listener)
 {
 	GHashTableIter iter;
 	gpointer key;
@@ -320,7 +323,7 @@
 	g_hash_table_unref(listener->refused);
 }
 
-/* Stops listening; open connections are left to their owner. NULL allowed. */
+/* Stops listening; open connections stay with their owner. NULL is allowed. */
 void http_listener_destroy(struct http_listener *listener)
 {
 	if (!listener)
@@ -331,12 +334,12 @@
 	g_socket_service_stop(listener->service);
 	g_socket_listener_close(G_SOCKET_LISTENER(listener->service));
 	g_object_unref(listener->service);
-	listener_forget(listener);
+	listener_detach_connections(listener);
 	g_free(listener->address);
 	g_free(listener);
 }
 
-/* host:port with the port that was taken. */
+/* Returns host:port with the actual port; owned by the listener. */
 const char *http_listener_address(const struct http_listener *listener)
 {
 	return listener->address;
@@ -351,35 +354,36 @@
 		      : NULL;
 }
 
-static void connection_move(SoupServerMessage *message, int32_t calls)
+static void connection_record_activity(SoupServerMessage *message,
+				       int32_t calls)
 {
 	struct connection *connection = connection_of(message);
 
 	if (!connection)
 		return;
 	connection->call_count += calls;
-	connection->moved_at_us = g_get_monotonic_time();
+	connection->active_at_us = g_get_monotonic_time();
 }
 
-/* A call starts: the connection stays open until it has ended. */
-void http_listener_begin(SoupServerMessage *message)
+/* Records the start of a call: its connection does not count as idle. */
+void http_listener_begin_call(SoupServerMessage *message)
 {
-	connection_move(message, 1);
+	connection_record_activity(message, 1);
 }
 
-/* Bytes have come: the connection is not idle. */
-void http_listener_touch(SoupServerMessage *message)
+/* Records the arrival of bytes, which restarts the idle timeout. */
+void http_listener_record_bytes(SoupServerMessage *message)
 {
-	connection_move(message, 0);
+	connection_record_activity(message, 0);
 }
 
-/* A call has ended; the connection may be closed when it stays idle. */
-void http_listener_end(SoupServerMessage *message)
+/* Records the end of a call; the idle timeout starts. */
+void http_listener_end_call(SoupServerMessage *message)
 {
-	connection_move(message, -1);
+	connection_record_activity(message, -1);
 }
 
-/* The socket that a message came by; NULL where it is closed. */
+/* Returns the socket of a message, not referenced; NULL if it is closed. */
 GSocket *http_listener_socket(SoupServerMessage *message)
 {
 	struct connection *connection = connection_of(message);
--- a/adapters/http_listener.h
+++ b/adapters/http_listener.h
@@ -11,14 +11,15 @@
 G_BEGIN_DECLS
 
 /*
- * The listening socket, with a bound on its connections: one above the bound
- * is answered by a refusal and closed, and one that stays idle is closed.
+ * The listening socket and its connections, whose number is bounded. A
+ * connection above the bound gets a refusal and is closed. An idle connection
+ * is closed.
  */
 struct http_listener_options {
-	const char *address; /* host:port; port 0 takes a free one */
+	const char *address; /* host:port; port 0: any free port */
 	int64_t max_connections;
-	int64_t idle_close_ms;	   /* nothing moved for so long */
-	int32_t send_buffer_bytes; /* kernel's buffer of one connection */
+	int64_t idle_timeout_ms;   /* time without traffic */
+	int32_t send_buffer_bytes; /* SO_SNDBUF; 0: default */
 	void (*accept)(void *data, GSocketConnection *connection,
 		       GSocketAddress *local, GSocketAddress *remote);
 	void *data;
@@ -33,12 +34,13 @@
 const char *http_listener_address(const struct http_listener *listener);
 
 /*
- * A call starts, a request moves or a call ends on the connection that its
- * message came by; one with a call is not closed as idle.
+ * Record that a call starts, that bytes of a request arrive or that a call
+ * ends on the connection of a message. A connection with a call is not closed
+ * as idle.
  */
-void http_listener_begin(SoupServerMessage *message);
-void http_listener_touch(SoupServerMessage *message);
-void http_listener_end(SoupServerMessage *message);
+void http_listener_begin_call(SoupServerMessage *message);
+void http_listener_record_bytes(SoupServerMessage *message);
+void http_listener_end_call(SoupServerMessage *message);
 GSocket *http_listener_socket(SoupServerMessage *message);
 
 G_END_DECLS
--- a/adapters/http_metrics.c
+++ b/adapters/http_metrics.c
@@ -13,7 +13,7 @@
 			       counters->value[id]);
 }
 
-/* Buckets count all up to their bound. */
+/* Buckets are cumulative, as Prometheus expects. */
 static void append_histogram(GString *text, const struct counters *counters,
 			     enum latency id)
 {
@@ -47,7 +47,7 @@
 			       name, count);
 }
 
-/* The whole text; the caller lets go of it. */
+/* Returns the metrics in Prometheus text format; the caller unrefs them. */
 GBytes *http_metrics_text(const struct counters *counters)
 {
 	GString *text = g_string_new(NULL);
--- a/adapters/http_metrics.h
+++ b/adapters/http_metrics.h
@@ -7,7 +7,7 @@
 
 G_BEGIN_DECLS
 
-/* Counters and histograms of a process as Prometheus reads them. */
+/* The counters and histograms of a process in Prometheus text format. */
 GBytes *http_metrics_text(const struct counters *counters);
 
 G_END_DECLS
--- a/adapters/http_request.c
+++ b/adapters/http_request.c
@@ -11,7 +11,7 @@
 #define DEADLINE_MAX_MS 86400000
 #define PRIORITY_MAX 9
 #define US_PER_MS 1000
-#define HEADER_FRAMING_BYTES 4 /* ": " and the line's end */
+#define HEADER_FRAMING_BYTES 4 /* ": " and CRLF */
 
 static const char *header_get(SoupServerMessage *message, const char *name)
 {
@@ -27,7 +27,7 @@
 	return false;
 }
 
-/* Printable ASCII without spaces: safe in logs, keys and further headers. */
+/* Printable ASCII without spaces: safe in logs, keys and forwarded headers. */
 static bool text_is_token(const char *text, size_t length_max)
 {
 	size_t length = strlen(text);
@@ -57,18 +57,18 @@
 }
 
 static bool header_read_number(SoupServerMessage *message, const char *name,
-			       int64_t least, int64_t most, int64_t *out,
+			       int64_t min, int64_t max, int64_t *out,
 			       struct error *error)
 {
 	const char *text = header_get(message, name);
 
 	if (!text)
 		return true;
-	if (!g_ascii_string_to_signed(text, 10, least, most, out, NULL)) {
+	if (!g_ascii_string_to_signed(text, 10, min, max, out, NULL)) {
 		error_set(error, ERROR_INVALID, "http.header", NULL,
 			  "%s must be a number from %" G_GINT64_FORMAT
 			  " to %" G_GINT64_FORMAT,
-			  name, least, most);
+			  name, min, max);
 		return false;
 	}
 	return true;
@@ -126,14 +126,15 @@
 		return NULL;
 	}
 	g_bytes_unref(request->body);
-	request->body = http_uploads_take(message);
+	request->body = http_uploads_take_body(message);
 	return request;
 }
 
 /*
- * A generation, or the rest of one where Last-Event-ID is given: the body is
- * the same, and the answer is a stream, since only streams carry ids.
- * NULL with ERROR_INVALID where header or body is malformed.
+ * Reads a request for a generation, or for the rest of one if Last-Event-ID is
+ * set. The body is the same; a resumed answer is always a stream, because only
+ * streams carry event ids. The caller owns the result. Returns NULL with
+ * ERROR_INVALID if a header or the body is malformed.
  */
 struct request *http_request_read_generation(SoupServerMessage *message,
 					     struct error *error)
@@ -156,7 +157,7 @@
 	return request;
 }
 
-/* The path and query behind /svc/SERVICE, as the endpoint gets them. */
+/* Reads SERVICE, and the path and query after it that the endpoint receives. */
 static bool request_read_plain_path(struct request *request, GUri *uri,
 				    struct error *error)
 {
@@ -172,7 +173,10 @@
 	return true;
 }
 
-/* A call to a plain service. NULL with ERROR_INVALID where it is malformed. */
+/*
+ * Reads a call to a plain service. The caller owns the result. Returns NULL
+ * with ERROR_INVALID if the request is malformed.
+ */
 struct request *http_request_read_plain(SoupServerMessage *message,
 					struct error *error)
 {
@@ -194,7 +198,7 @@
 		(int64_t)(strlen(name) + strlen(value)) + HEADER_FRAMING_BYTES;
 }
 
-/* Size of the request's headers, with its path and query. */
+/* Returns the size of the request's headers, path and query in bytes. */
 int64_t http_request_header_bytes(SoupServerMessage *message)
 {
 	GUri *uri = soup_server_message_get_uri(message);
@@ -208,7 +212,7 @@
 	return bytes;
 }
 
-/* The bearer key of the request, or NULL. */
+/* Returns the request's bearer key, owned by the message, or NULL. */
 const char *http_request_bearer(SoupServerMessage *message)
 {
 	const char *text = header_get(message, "Authorization");
@@ -219,7 +223,10 @@
 	return text + strlen(scheme);
 }
 
-/* Name of the operator who asks, or NULL where it is missing or malformed. */
+/*
+ * Returns the operator's name from X-Operator, owned by the message, or NULL if
+ * it is missing or malformed.
+ */
 const char *http_request_operator(SoupServerMessage *message)
 {
 	const char *name = header_get(message, "X-Operator");
--- a/adapters/http_request.h
+++ b/adapters/http_request.h
@@ -9,7 +9,7 @@
 
 G_BEGIN_DECLS
 
-/* Turns a caller's HTTP request into a struct request, every header checked. */
+/* Converts a caller's HTTP request to a struct request; checks its headers. */
 struct request *http_request_read_generation(SoupServerMessage *message,
 					     struct error *error);
 struct request *http_request_read_plain(SoupServerMessage *message,
--- a/adapters/http_route.c
+++ b/adapters/http_route.c
@@ -16,17 +16,17 @@
 				SoupServerMessage *message,
 				const struct error *error)
 {
-	struct http_problem problem =
-		http_problem_of(REFUSAL_BAD_REQUEST, RUN_NO, 0, error->detail);
+	struct http_problem problem = http_problem_from_refusal(
+		REFUSAL_BAD_REQUEST, RUN_NO, 0, error->detail);
 
 	http_server_refuse(server, message, &problem);
 }
 
-/* Hands a request to the node, or refuses one that could not be read. */
-static void server_take_request(struct http_server *server,
-				SoupServerMessage *message,
-				struct request *request, bool chat,
-				const struct error *error)
+/* Delivers a request to the node; refuses it if it could not be read. */
+static void server_deliver_request(struct http_server *server,
+				   SoupServerMessage *message,
+				   struct request *request, bool chat,
+				   const struct error *error)
 {
 	struct event event = {.type = EVENT_CALL};
 
@@ -65,7 +65,7 @@
 	struct error error;
 	struct request *request = http_request_read_generation(message, &error);
 
-	server_take_request(server, message, request, chat, &error);
+	server_deliver_request(server, message, request, chat, &error);
 }
 
 static void server_on_plain(struct http_server *server,
@@ -74,13 +74,13 @@
 	struct error error;
 	struct request *request = http_request_read_plain(message, &error);
 
-	server_take_request(server, message, request, false, &error);
+	server_deliver_request(server, message, request, false, &error);
 }
 
 static void server_on_plan(struct http_server *server,
 			   SoupServerMessage *message)
 {
-	GBytes *body = http_uploads_take(message);
+	GBytes *body = http_uploads_take_body(message);
 
 	if (http_request_operator(message))
 		server_deliver_query(server, message, QUERY_PLAN, NULL, body);
@@ -127,10 +127,10 @@
 }
 
 struct route {
-	const char *method; /* NULL: any */
-	const char *path;   /* a prefix where it ends with a slash */
-	bool for_operators;
-	enum query_type query; /* what the node is asked, without `run` */
+	const char *method; /* NULL: any method */
+	const char *path;   /* a prefix if it ends with a slash */
+	bool operators_only;
+	enum query_type query; /* sent to the node if run is NULL */
 	void (*run)(struct http_server *server, SoupServerMessage *message);
 };
 
@@ -160,7 +160,10 @@
 	return NULL;
 }
 
-/* Digests are compared, so that neither content nor length shows in time. */
+/*
+ * Compares digests in constant time, so that the response time reveals neither
+ * the content nor the length of the key.
+ */
 static bool key_matches(const char *key, const char *given)
 {
 	unsigned char a[crypto_hash_sha256_BYTES];
@@ -178,7 +181,7 @@
 	const char *given = http_request_bearer(message);
 
 	if (!*server->operator_key)
-		return &http_problem_operators_closed;
+		return &http_problem_operators_disabled;
 	if (!given || !key_matches(server->operator_key, given))
 		return &http_problem_operator_key;
 	return NULL;
@@ -193,14 +196,14 @@
 	if (route->method &&
 	    !g_str_equal(route->method,
 			 soup_server_message_get_method(message)))
-		return &http_problem_method;
-	if (route->for_operators)
+		return &http_problem_method_not_allowed;
+	if (route->operators_only)
 		return server_check_operator(server, message);
 	return NULL;
 }
 
-/* Hands the message to what its path stands for, or refuses it. */
-void http_route_run(struct http_server *server, SoupServerMessage *message)
+/* Dispatches a message by its path and method, or refuses it. */
+void http_route_dispatch(struct http_server *server, SoupServerMessage *message)
 {
 	GUri *uri = soup_server_message_get_uri(message);
 	const struct route *route = route_find(g_uri_get_path(uri));
--- a/adapters/http_route.h
+++ b/adapters/http_route.h
@@ -7,8 +7,9 @@
 
 G_BEGIN_DECLS
 
-/* The paths of the product's own interface, and who may ask for them. */
-void http_route_run(struct http_server *server, SoupServerMessage *message);
+/* Maps the paths of the HTTP interface to handlers and checks access. */
+void http_route_dispatch(struct http_server *server,
+			 SoupServerMessage *message);
 
 G_END_DECLS
 
--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -7,11 +7,11 @@
 #include "adapters/http_server_state.h"
 #include "adapters/http_upload.h"
 
-/* An answer that is collected may be so long, however small requests are. */
+/* Minimum limit of a collected answer, however small max_body_bytes is. */
 #define COLLECT_BYTES_MIN 1048576
-#define IDLE_CLOSE_MS 60000 /* without a byte either way */
+#define IDLE_TIMEOUT_MS 60000
 
-/* Hands an event to the node. */
+/* Delivers an event to the node. */
 void http_server_deliver(struct http_server *server, const struct event *event)
 {
 	server->sink.deliver(server->sink.data, event);
@@ -30,7 +30,7 @@
 			  NULL);
 }
 
-/* Answers a request that the node never hears of. */
+/* Logs, counts and answers a refusal that the node is not informed of. */
 void http_server_refuse(struct http_server *server, SoupServerMessage *message,
 			const struct http_problem *problem)
 {
@@ -39,7 +39,7 @@
 	http_answer_problem(message, problem);
 }
 
-static void server_call_gone(void *data, uint64_t number)
+static void server_call_disconnected(void *data, uint64_t number)
 {
 	struct http_server *server = data;
 	struct event event = {.type = EVENT_CALL_GONE, .call_gone = number};
@@ -58,7 +58,7 @@
 	http_server_deliver(server, &event);
 }
 
-/* A number for an exchange that the node will answer. */
+/* Opens a call, which the node will answer, and returns its number. */
 uint64_t http_server_open_call(struct http_server *server,
 			       SoupServerMessage *message, bool stream,
 			       bool chat)
@@ -70,7 +70,7 @@
 		.chat = chat,
 		.stream_buffer_bytes = server->stream_buffer_bytes,
 		.collect_bytes = MAX(server->max_body_bytes, COLLECT_BYTES_MIN),
-		.gone = server_call_gone,
+		.disconnected = server_call_disconnected,
 		.flow = server_call_flow,
 		.data = server,
 	};
@@ -86,7 +86,7 @@
 	struct http_server *server = data;
 
 	server->open_exchanges--;
-	http_listener_end(message);
+	http_listener_end_call(message);
 }
 
 static void server_begin_exchange(struct http_server *server,
@@ -95,7 +95,7 @@
 	g_signal_connect(message, "finished", G_CALLBACK(exchange_finished),
 			 server);
 	server->open_exchanges++;
-	http_listener_begin(message);
+	http_listener_begin_call(message);
 }
 
 static void server_handle(SoupServer *soup, SoupServerMessage *message,
@@ -107,15 +107,15 @@
 	(void)path;
 	(void)query;
 	server_begin_exchange(server, message);
-	http_route_run(server, message);
+	http_route_dispatch(server, message);
 }
 
 /*
- * One exchange for each connection. libsoup's server keeps the socket of an
- * idle connection for good after its caller has closed it, so that the
- * connections allowed would run out. Said in the answer, the caller does not
- * send its next request into a connection that is about to close, where it
- * could not tell whether the request ran.
+ * Allows one exchange per connection. libsoup's server never releases the
+ * socket of an idle connection that its caller has closed, so the node would
+ * reach max_connections. With "Connection: close" in the answer, the caller
+ * does not send its next request on a connection that is about to close, where
+ * it could not determine whether the request ran.
  */
 static void message_close_after(SoupServerMessage *message)
 {
@@ -152,7 +152,7 @@
 				    local, remote, NULL);
 }
 
-/* Listens at once; NULL with the reason where the address cannot be had. */
+/* Starts to listen. Returns NULL and sets error if the bind fails. */
 struct http_server *
 http_server_create(const struct http_server_options *options,
 		   const struct event_sink *sink, struct error *error)
@@ -161,7 +161,7 @@
 	struct http_listener_options listener = {
 		.address = options->address,
 		.max_connections = options->max_connections,
-		.idle_close_ms = IDLE_CLOSE_MS,
+		.idle_timeout_ms = IDLE_TIMEOUT_MS,
 		.send_buffer_bytes =
 			(int32_t)MIN(options->stream_buffer_bytes, G_MAXINT32),
 		.accept = server_accept,
@@ -185,7 +185,7 @@
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
 				      (GDestroyNotify)http_call_destroy);
 	server->uploads = http_uploads_create(&uploads);
-	server->gone = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	server->ended_calls = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	server->soup = soup_server_new("server-header", "siskinlink",
 				       "raw-paths", TRUE, NULL);
 	soup_server_add_early_handler(server->soup, NULL, server_handle_early,
@@ -200,7 +200,7 @@
 	return server;
 }
 
-/* Closes all connections and tells nobody. NULL is allowed. */
+/* Closes all connections and delivers no events. NULL is allowed. */
 void http_server_destroy(struct http_server *server)
 {
 	if (!server)
@@ -210,53 +210,57 @@
 	soup_server_disconnect(server->soup);
 	g_object_unref(server->soup);
 	http_uploads_destroy(server->uploads);
-	if (server->gone_source)
-		g_source_remove(server->gone_source);
-	g_array_unref(server->gone);
+	if (server->ended_calls_source)
+		g_source_remove(server->ended_calls_source);
+	g_array_unref(server->ended_calls);
 	g_free(server->operator_key);
 	g_free(server);
 }
 
-/* host:port with the port that was taken. */
+/* Returns host:port with the actual port; owned by the server. */
 const char *http_server_address(const struct http_server *server)
 {
 	return http_listener_address(server->listener);
 }
 
-/* Exchanges whose answer is not yet written whole to its socket. */
+/* Returns the number of exchanges whose answer is not completely written. */
 size_t http_server_open_exchanges(const struct http_server *server)
 {
 	return server->open_exchanges;
 }
 
-static gboolean server_tell_gone(gpointer data)
+static gboolean server_deliver_ended_calls(gpointer data)
 {
 	struct http_server *server = data;
-	GArray *gone = server->gone;
+	GArray *numbers = server->ended_calls;
 
-	server->gone = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	server->gone_source = 0;
-	for (guint i = 0; i < gone->len; i++) {
+	server->ended_calls = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	server->ended_calls_source = 0;
+	for (guint i = 0; i < numbers->len; i++) {
 		struct event event = {.type = EVENT_CALL_GONE};
 
-		event.call_gone = g_array_index(gone, uint64_t, i);
+		event.call_gone = g_array_index(numbers, uint64_t, i);
 		http_server_deliver(server, &event);
 	}
-	g_array_unref(gone);
+	g_array_unref(numbers);
 	return G_SOURCE_REMOVE;
 }
 
-/* The call ended here and not by the core, which is told from the loop. */
-static void server_defer_gone(struct http_server *server, uint64_t number)
+/*
+ * The server ended the call itself: EVENT_CALL_GONE is delivered to the core
+ * from the main loop, not from inside the core's own action.
+ */
+static void server_defer_ended_call(struct http_server *server, uint64_t number)
 {
-	g_array_append_val(server->gone, number);
-	if (!server->gone_source)
-		server->gone_source = g_idle_add_full(
-			G_PRIORITY_DEFAULT, server_tell_gone, server, NULL);
+	g_array_append_val(server->ended_calls, number);
+	if (!server->ended_calls_source)
+		server->ended_calls_source = g_idle_add_full(
+			G_PRIORITY_DEFAULT, server_deliver_ended_calls, server,
+			NULL);
 }
 
-static struct http_call *server_find(struct http_server *server,
-				     uint64_t number)
+static struct http_call *server_find_call(struct http_server *server,
+					  uint64_t number)
 {
 	struct http_call *call = g_hash_table_lookup(server->calls, &number);
 
@@ -273,7 +277,7 @@
 static void server_apply_answer(struct http_server *server,
 				const struct action *action)
 {
-	struct http_call *call = server_find(server, action->answer.call);
+	struct http_call *call = server_find_call(server, action->answer.call);
 
 	if (call && http_call_answer(call, &action->answer))
 		server_close_call(server, action->answer.call);
@@ -282,7 +286,7 @@
 static void server_apply_refuse(struct http_server *server,
 				const struct action *action)
 {
-	struct http_call *call = server_find(server, action->refuse.call);
+	struct http_call *call = server_find_call(server, action->refuse.call);
 
 	if (call && http_call_refuse(call, &action->refuse))
 		server_close_call(server, action->refuse.call);
@@ -291,7 +295,7 @@
 static void server_apply_begin(struct http_server *server,
 			       const struct action *action)
 {
-	struct http_call *call = server_find(server, action->call_begin);
+	struct http_call *call = server_find_call(server, action->call_begin);
 
 	if (call)
 		http_call_begin(call);
@@ -301,18 +305,18 @@
 			       const struct action *action)
 {
 	uint64_t number = action->chunk.call;
-	struct http_call *call = server_find(server, number);
+	struct http_call *call = server_find_call(server, number);
 
 	if (call && http_call_chunk(call, &action->chunk)) {
 		server_close_call(server, number);
-		server_defer_gone(server, number);
+		server_defer_ended_call(server, number);
 	}
 }
 
 static void server_apply_end(struct http_server *server,
 			     const struct action *action)
 {
-	struct http_call *call = server_find(server, action->end.call);
+	struct http_call *call = server_find_call(server, action->end.call);
 
 	if (call && http_call_end(call, &action->end))
 		server_close_call(server, action->end.call);
@@ -330,8 +334,8 @@
 };
 
 /*
- * Carries one ACTION_CALL_* out; others are left alone. An action for a call
- * that is not open here is counted and has no effect.
+ * Executes one ACTION_CALL_* and ignores all other actions. An action for a
+ * call that is not open is counted in COUNTER_EVENTS_UNKNOWN and has no effect.
  */
 void http_server_apply(struct http_server *server, const struct action *action)
 {
--- a/adapters/http_server.h
+++ b/adapters/http_server.h
@@ -13,11 +13,12 @@
 G_BEGIN_DECLS
 
 /*
- * Callers' and operators' HTTP, by libsoup on the loop's thread. Turns
- * exchanges into EVENT_CALL and EVENT_QUERY, and ACTION_CALL_* into answers.
+ * The HTTP server for callers and operators, by libsoup on the thread of the
+ * main loop. It turns requests into EVENT_CALL and EVENT_QUERY, and
+ * ACTION_CALL_* into answers.
  */
 struct http_server_options {
-	const char *address; /* host:port; port 0 takes a free one */
+	const char *address; /* host:port; port 0: any free port */
 	const char *operator_key;
 	int64_t max_header_bytes;
 	int64_t max_body_bytes;
--- a/adapters/http_server_state.h
+++ b/adapters/http_server_state.h
@@ -12,7 +12,7 @@
 
 G_BEGIN_DECLS
 
-/* Shared by http_server.c and http_route.c; not for others. */
+/* Private to http_server.c and http_route.c. */
 struct http_server {
 	SoupServer *soup;
 	struct http_listener *listener;
@@ -24,10 +24,10 @@
 	int64_t max_body_bytes;
 	int64_t stream_buffer_bytes;
 	uint64_t last_call;
-	size_t open_exchanges; /* from request read to answer written */
+	size_t open_exchanges; /* request read, answer not yet written */
 	GHashTable *calls;     /* uint64_t -> struct http_call */
-	GArray *gone;	       /* uint64_t: to be told from the loop */
-	guint gone_source;
+	GArray *ended_calls;   /* uint64_t: EVENT_CALL_GONE is due */
+	guint ended_calls_source;
 };
 
 void http_server_deliver(struct http_server *server, const struct event *event);
--- a/adapters/http_stream.c
+++ b/adapters/http_stream.c
@@ -10,13 +10,13 @@
 	void *data;
 	bool chat;
 	bool ended;
-	bool full;	   /* what was last told */
-	guint flow_source; /* 0: nothing to tell */
+	bool full;	   /* passed to the last call of flow */
+	guint flow_source; /* 0: no call of flow is due */
 	int64_t pending_bytes;
 	gulong wrote_handler;
 };
 
-static bool stream_wants_full(const struct http_stream *stream)
+static bool stream_is_full(const struct http_stream *stream)
 {
 	if (stream->pending_bytes > stream->buffer_bytes)
 		return true;
@@ -25,10 +25,10 @@
 	return stream->full;
 }
 
-static gboolean stream_tell_flow(gpointer data)
+static gboolean stream_notify_flow(gpointer data)
 {
 	struct http_stream *stream = data;
-	bool full = stream_wants_full(stream);
+	bool full = stream_is_full(stream);
 
 	stream->flow_source = 0;
 	if (full != stream->full && !stream->ended) {
@@ -38,14 +38,17 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Told from the loop: bytes change inside the core's own actions. */
+/*
+ * Defers the call of flow to the main loop, because pending_bytes also changes
+ * during the core's own actions.
+ */
 static void stream_check_flow(struct http_stream *stream)
 {
 	if (stream->ended || stream->flow_source ||
-	    stream_wants_full(stream) == stream->full)
+	    stream_is_full(stream) == stream->full)
 		return;
 	stream->flow_source = g_idle_add_full(G_PRIORITY_DEFAULT,
-					      stream_tell_flow, stream, NULL);
+					      stream_notify_flow, stream, NULL);
 }
 
 static void stream_wrote(SoupServerMessage *message, guint size, gpointer data)
@@ -57,7 +60,7 @@
 	stream_check_flow(stream);
 }
 
-/* A stream on a paused message; nothing is sent before http_stream_begin. */
+/* Creates a stream on a paused message. http_stream_begin starts to send. */
 struct http_stream *
 http_stream_create(const struct http_stream_options *options)
 {
@@ -74,7 +77,7 @@
 	return stream;
 }
 
-/* Frees the stream; NULL is allowed. The message goes on by itself. */
+/* Frees the stream; libsoup still sends its message. NULL is allowed. */
 void http_stream_destroy(struct http_stream *stream)
 {
 	if (!stream)
@@ -99,7 +102,7 @@
 	stream_check_flow(stream);
 }
 
-/* Sends status and headers. An HTTP/1.0 caller gets the body unchunked. */
+/* Sends status and headers. The body is not chunked for HTTP/1.0 callers. */
 void http_stream_begin(struct http_stream *stream)
 {
 	SoupServerMessage *message = stream->message;
@@ -120,8 +123,8 @@
 }
 
 /*
- * Data of several lines becomes several data fields: a line of an engine's
- * text can then never be read as a field or an event of its own.
+ * Writes each line of data as its own data field, so that a line of an
+ * engine's text is never parsed as another field or event.
  */
 static void text_append_data(GString *text, const char *data, size_t length)
 {
@@ -140,7 +143,7 @@
 	g_string_append_c(text, '\n');
 }
 
-/* Sends one event. */
+/* Sends one event; without an id field if event_id is NULL. */
 void http_stream_chunk(struct http_stream *stream, const char *event_id,
 		       GBytes *data)
 {
@@ -182,9 +185,9 @@
 	return json;
 }
 
-/* Sends the usage and [DONE]; the stream is complete. */
-void http_stream_end_whole(struct http_stream *stream, int64_t token_count,
-			   const char *finish_reason)
+/* Ends a complete stream with the finish reason, the usage and [DONE]. */
+void http_stream_end_complete(struct http_stream *stream, int64_t token_count,
+			      const char *finish_reason)
 {
 	char *json = stream_last_json(stream, token_count, finish_reason);
 	GString *text = g_string_new(NULL);
@@ -195,7 +198,7 @@
 	g_free(json);
 }
 
-/* Sends the typed error in place of [DONE]. */
+/* Ends the stream with an error event instead of [DONE]. */
 void http_stream_end_problem(struct http_stream *stream,
 			     const struct http_problem *problem)
 {
--- a/adapters/http_stream.h
+++ b/adapters/http_stream.h
@@ -11,16 +11,17 @@
 G_BEGIN_DECLS
 
 /*
- * One answer as server-sent events. Counts the bytes that were handed to
- * libsoup and not yet written, and tells, from the loop, when they rise above
- * the mark and when they are below half of it again.
+ * One answer as server-sent events. Counts the bytes that were passed to
+ * libsoup and not yet written. Calls flow from the main loop with full = true
+ * when they rise above buffer_bytes and with false when they fall below half
+ * of it.
  */
 struct http_stream_options {
 	SoupServerMessage *message;
 	int64_t buffer_bytes;
 	void (*flow)(void *data, bool full);
 	void *data;
-	bool chat; /* shape of the last event */
+	bool chat; /* format of the last event */
 };
 
 struct http_stream;
@@ -31,8 +32,8 @@
 void http_stream_begin(struct http_stream *stream);
 void http_stream_chunk(struct http_stream *stream, const char *event_id,
 		       GBytes *data);
-void http_stream_end_whole(struct http_stream *stream, int64_t token_count,
-			   const char *finish_reason);
+void http_stream_end_complete(struct http_stream *stream, int64_t token_count,
+			      const char *finish_reason);
 void http_stream_end_problem(struct http_stream *stream,
 			     const struct http_problem *problem);
 
--- a/adapters/http_upload.c
+++ b/adapters/http_upload.c
@@ -4,27 +4,27 @@
 #include "adapters/http_request.h"
 
 #define UPLOAD_KEY "siskinlink-upload"
-#define ALL_BODIES_BYTES_MIN (INT64_C(64) << 20)
-#define WHOLE_BODIES 4 /* so many of the largest fit in any case */
+#define TOTAL_BYTES_MIN (INT64_C(64) << 20)
+#define FULL_BODIES_MIN 4 /* bodies of max_body_bytes that always fit */
 
-/* Counted references: messages outlive the server for a moment. */
+/* Reference-counted, because messages may outlive the server briefly. */
 struct http_uploads {
 	int64_t max_header_bytes;
 	int64_t max_body_bytes;
-	int64_t max_all_bytes;
-	int64_t all_bytes;
+	int64_t max_total_bytes;
+	int64_t total_bytes;
 	void (*refuse)(void *data, SoupServerMessage *message,
 		       const struct http_problem *problem);
-	void *data; /* NULL once destroyed: no refusal any more */
+	void *data; /* NULL once destroyed: refuses nothing */
 };
 
 struct upload {
 	struct http_uploads *uploads;
-	int64_t got_bytes;
-	int64_t held_bytes; /* of all_bytes */
+	int64_t received_bytes;
+	int64_t held_bytes; /* counted in total_bytes */
 };
 
-/* Bounds for one server. */
+/* Creates the limits of one server. */
 struct http_uploads *
 http_uploads_create(const struct http_uploads_options *options)
 {
@@ -32,14 +32,14 @@
 
 	uploads->max_header_bytes = options->max_header_bytes;
 	uploads->max_body_bytes = options->max_body_bytes;
-	uploads->max_all_bytes = MAX(ALL_BODIES_BYTES_MIN,
-				     WHOLE_BODIES * options->max_body_bytes);
+	uploads->max_total_bytes =
+		MAX(TOTAL_BYTES_MIN, FULL_BODIES_MIN * options->max_body_bytes);
 	uploads->refuse = options->refuse;
 	uploads->data = options->data;
 	return uploads;
 }
 
-/* Refuses nothing from now on. NULL is allowed. */
+/* Releases the limits; no upload is refused after this. NULL is allowed. */
 void http_uploads_destroy(struct http_uploads *uploads)
 {
 	if (!uploads)
@@ -48,9 +48,9 @@
 	g_rc_box_release(uploads);
 }
 
-static void upload_let_go(struct upload *upload)
+static void upload_release(struct upload *upload)
 {
-	upload->uploads->all_bytes -= upload->held_bytes;
+	upload->uploads->total_bytes -= upload->held_bytes;
 	upload->held_bytes = 0;
 }
 
@@ -58,7 +58,7 @@
 {
 	struct upload *upload = data;
 
-	upload_let_go(upload);
+	upload_release(upload);
 	g_rc_box_release(upload->uploads);
 	g_free(upload);
 }
@@ -71,19 +71,21 @@
 
 	soup_message_body_set_accumulate(body, FALSE);
 	soup_message_body_truncate(body);
-	upload_let_go(upload);
+	upload_release(upload);
 	if (uploads->data)
 		uploads->refuse(uploads->data, message, problem);
 }
 
 static struct http_problem body_problem(void)
 {
-	return http_problem_of(REFUSAL_TOO_LARGE, RUN_NO, 0, "the body");
+	return http_problem_from_refusal(REFUSAL_TOO_LARGE, RUN_NO, 0,
+					 "the body");
 }
 
 /*
- * A body over the limit is read on without being kept, so that the caller
- * sees the answer and not a reset; one that goes on for as long again is cut.
+ * The rest of a body over the limit is read and discarded, so that the caller
+ * receives the answer and not a reset. Above twice the limit the connection is
+ * closed.
  */
 static void upload_got_chunk(SoupServerMessage *message, GBytes *chunk,
 			     gpointer data)
@@ -94,18 +96,18 @@
 	struct http_problem problem = body_problem();
 	GSocket *socket = http_listener_socket(message);
 
-	http_listener_touch(message);
-	upload->got_bytes += bytes;
-	if (socket && upload->got_bytes > 2 * uploads->max_body_bytes)
+	http_listener_record_bytes(message);
+	upload->received_bytes += bytes;
+	if (socket && upload->received_bytes > 2 * uploads->max_body_bytes)
 		g_socket_shutdown(socket, TRUE, TRUE, NULL);
 	if (soup_server_message_get_status(message))
 		return;
 	upload->held_bytes += bytes;
-	uploads->all_bytes += bytes;
-	if (upload->got_bytes > uploads->max_body_bytes)
+	uploads->total_bytes += bytes;
+	if (upload->received_bytes > uploads->max_body_bytes)
 		upload_refuse(upload, message, &problem);
-	else if (uploads->all_bytes > uploads->max_all_bytes)
-		upload_refuse(upload, message, &http_problem_bodies);
+	else if (uploads->total_bytes > uploads->max_total_bytes)
+		upload_refuse(upload, message, &http_problem_too_many_bytes);
 }
 
 static bool upload_is_too_long(const struct upload *upload,
@@ -117,7 +119,10 @@
 		       upload->uploads->max_body_bytes;
 }
 
-/* The headers are read; refuses before any byte of the body is kept. */
+/*
+ * Starts to watch an upload whose headers are read. Refuses headers and a
+ * Content-Length over the limit before any byte of the body is kept.
+ */
 void http_uploads_watch(struct http_uploads *uploads,
 			SoupServerMessage *message)
 {
@@ -130,7 +135,7 @@
 	g_signal_connect(message, "got-chunk", G_CALLBACK(upload_got_chunk),
 			 upload);
 	if (http_request_header_bytes(message) > uploads->max_header_bytes)
-		upload_refuse(upload, message, &http_problem_header);
+		upload_refuse(upload, message, &http_problem_header_too_large);
 	else if (upload_is_too_long(
 			 upload,
 			 soup_server_message_get_request_headers(message)))
@@ -138,10 +143,11 @@
 }
 
 /*
- * The whole body, which the message then holds no longer: a long stream would
- * else keep its prompt a second time to its end.
+ * Returns the complete body, which the caller unrefs, and removes it from the
+ * message: otherwise a long stream would hold a second copy of its prompt until
+ * it ends.
  */
-GBytes *http_uploads_take(SoupServerMessage *message)
+GBytes *http_uploads_take_body(SoupServerMessage *message)
 {
 	SoupMessageBody *body = soup_server_message_get_request_body(message);
 	struct upload *upload =
@@ -150,6 +156,6 @@
 
 	soup_message_body_truncate(body);
 	if (upload)
-		upload_let_go(upload);
+		upload_release(upload);
 	return bytes;
 }
--- a/adapters/http_upload.h
+++ b/adapters/http_upload.h
@@ -10,8 +10,8 @@
 G_BEGIN_DECLS
 
 /*
- * Bounds on requests while they arrive: the headers and body of each, and the
- * bytes of all bodies that are not whole yet.
+ * Limits on requests while they arrive: the size of the headers and the body
+ * of each request, and the total size of all incomplete bodies.
  */
 struct http_uploads_options {
 	int64_t max_header_bytes;
@@ -28,7 +28,7 @@
 void http_uploads_destroy(struct http_uploads *uploads);
 void http_uploads_watch(struct http_uploads *uploads,
 			SoupServerMessage *message);
-GBytes *http_uploads_take(SoupServerMessage *message);
+GBytes *http_uploads_take_body(SoupServerMessage *message);
 
 G_END_DECLS
 
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -185,9 +185,9 @@
 }
 
 /*
- * The engine is lost after the first token. The caller has part of an answer
- * and must not take it for the whole: its stream ends with the typed error and
- * without [DONE].
+ * The engine fails after the first token. The caller must not take the partial
+ * answer for a complete one: its stream ends with an error event and without
+ * [DONE].
  */
 TEST_F(HttpServer, EndsABrokenStreamByATypedError)
 {
@@ -227,8 +227,9 @@
 }
 
 /*
- * A caller that asked for one object gets a malformed chunk's call refused; the
- * core is told that the call is over, exactly once, so that it cancels.
+ * A malformed chunk for a caller that requested one object ends the call with a
+ * refusal. The core receives EVENT_CALL_GONE exactly once, so that it cancels
+ * the generation.
  */
 TEST_F(HttpServer, EndsACallThatCannotBeCollected)
 {
@@ -369,8 +370,8 @@
 }
 
 /*
- * A caller goes on sending a body far over the limit. Nothing of it is kept,
- * and its connection is cut instead of being read for ever.
+ * A caller keeps sending a body far over the limit. The node discards it and
+ * closes the connection instead of reading for ever.
  */
 TEST_F(HttpServer, CutsAnEndlessBody)
 {
@@ -384,8 +385,9 @@
 }
 
 /*
- * Many callers send large bodies at once and none of them ends. Together they
- * are refused at the bound, and the node's memory is given back.
+ * Many callers send large bodies at once and finish none. The node refuses
+ * bodies above the limit on their total size, and releases the memory when the
+ * callers disconnect.
  */
 TEST_F(HttpServer, BoundsTheBodiesThatArriveTogether)
 {
@@ -438,9 +440,10 @@
 }
 
 /*
- * A caller stops reading its report. What libsoup holds for it rises over the
- * mark, the core is told once and would stop the engine's stream; when the
- * caller reads again the core is told that too, and every byte arrives.
+ * A caller stops reading its answer. When its unsent bytes exceed the limit,
+ * the core receives one EVENT_CALL_FLOW, by which it would pause the engine's
+ * stream. When the caller reads again, the core receives a second one, and
+ * every byte arrives.
  */
 TEST_F(HttpServer, TellsWhenACallerDoesNotRead)
 {
@@ -473,7 +476,7 @@
 	EXPECT_GT(c->input.size(), chunks * data.size());
 }
 
-/* A caller closes while it waits: libsoup does not look at the socket then. */
+/* A waiting caller disconnects; libsoup does not poll its socket then. */
 TEST_F(HttpServer, NoticesACallerThatCloses)
 {
 	std::unique_ptr<Connection> waiting(open());
@@ -502,9 +505,9 @@
 }
 
 /*
- * Callers come and go, some of them before they are answered. Each connection
- * is given back: where one was kept, the limit would be reached in the end and
- * every caller be refused.
+ * Callers connect and disconnect, some of them before they are answered. Each
+ * connection must be released, or the node would reach its connection limit and
+ * refuse every caller.
  */
 TEST_F(HttpServer, GivesEachConnectionBack)
 {
@@ -567,8 +570,8 @@
 }
 
 /*
- * An operator confirms a plan whose id has colons in it; the client escapes
- * them, as in any path. Taken as it stands, the id would name no plan.
+ * An operator confirms a plan whose id contains colons, which the client
+ * escapes in the path. Without unescaping, the id would match no plan.
  */
 TEST_F(HttpServer, ReadsAnEscapedPlanId)
 {
@@ -594,9 +597,8 @@
 }
 
 /*
- * Callers open connections and send nothing, or go on sending a request that
- * never ends. Each is closed after a while; otherwise they would take all the
- * connections for good.
+ * A caller opens a connection and sends nothing. The node closes it after the
+ * idle timeout; otherwise such callers could occupy all connections for ever.
  */
 TEST(HttpListener, ClosesConnectionsThatBringNoCall)
 {
@@ -607,7 +609,7 @@
 
 	options.address = "127.0.0.1:0";
 	options.max_connections = 2;
-	options.idle_close_ms = 40;
+	options.idle_timeout_ms = 40;
 	options.data = &accepted;
 	options.accept = [](void *data, GSocketConnection *connection,
 			    GSocketAddress *, GSocketAddress *) {
