--- a/core/message/refusal.c
+++ b/core/message/refusal.c
@@ -22,16 +22,16 @@
 	[REFUSAL_RATE_LIMIT] = {429, RUN_NO, "rate_limit",
 				"the organisation is over its request rate"},
 	[REFUSAL_TOKEN_LIMIT] = {429, RUN_NO, "token_limit",
-				 "the organisation is over its token limit"},
+				 "the organisation is over its tokens at once"},
 	[REFUSAL_QUEUE_FULL] = {429, RUN_NO, "queue_full",
-				"too many requests are queued"},
+				"too many requests wait"},
 	[REFUSAL_DEADLINE] = {503, RUN_NO, "deadline",
 			      "the deadline cannot be met"},
 	[REFUSAL_NO_ENDPOINT] = {503, RUN_NO, "no_endpoint",
 				 "no endpoint can take the request"},
-	[REFUSAL_DRAINING] = {503, RUN_NO, "draining", "the node is draining"},
+	[REFUSAL_DRAINING] = {503, RUN_NO, "draining", "the node is leaving"},
 	[REFUSAL_ISOLATED] = {503, RUN_NO, "isolated",
-			      "the node is partitioned from its peers"},
+			      "the node is cut off from its peers"},
 	[REFUSAL_KV_UNAVAILABLE] = {503, RUN_NO, "kv_unavailable",
 				    "the id could not be claimed"},
 	[REFUSAL_KEY_REQUIRED] = {400, RUN_NO, "key_required",
@@ -43,19 +43,18 @@
 				     "the request may have run; it will not "
 				     "be run again"},
 	[REFUSAL_ID_EXPIRED] = {409, RUN_UNKNOWN, "id_expired",
-				"the id is older than the time that ids "
-				"are kept"},
+				"the id is older than ids are remembered"},
 	[REFUSAL_ALREADY_RUN] = {409, RUN_YES, "already_run",
-				 "the request ran to its end; its answer "
-				 "is no longer kept"},
+				 "the request ran whole; its answer is no "
+				 "longer kept"},
 	[REFUSAL_KEY_REUSED] = {422, RUN_NO, "key_reused",
 				"the id was used with another body"},
 	[REFUSAL_QUARANTINED] = {503, RUN_NO, "quarantined",
 				 "earlier runs of this request crashed "
 				 "endpoints"},
 	[REFUSAL_BAD_EVENT_ID] = {400, RUN_NO, "bad_event_id",
-				  "the event id does not belong to this "
-				  "organisation"},
+				  "the event id is not one of this "
+				  "organisation's"},
 	[REFUSAL_GENERATION_GONE] = {410, RUN_YES, "generation_gone",
 				     "the generation is gone; a new request "
 				     "starts a new one"},
