--- a/fakes/backend_copy.c
+++ b/fakes/backend_copy.c
@@ -3,16 +3,16 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The handle_ttl_s of the configurations that the tests write. */
+/* Equals handle_ttl_s in the configurations that the tests write. */
 #define COPY_TTL_US (5 * G_USEC_PER_SEC)
-/* A receiver that is paused keeps no more calls waiting than these. */
+/* These limit how long and how many requests wait for a paused receiver. */
 #define SEND_TIMEOUT_S 2
 #define CONNECTIONS_MAX 64
 
 struct copy {
 	char *request;
 	int64_t events;
-	int64_t until_us;
+	int64_t expires_at_us;
 };
 
 struct backend_copies {
@@ -27,7 +27,7 @@
 	g_free(copy);
 }
 
-/* None yet. */
+/* Creates an empty set of copies; the caller destroys it. */
 struct backend_copies *backend_copies_create(void)
 {
 	struct backend_copies *copies = g_new0(struct backend_copies, 1);
@@ -37,7 +37,7 @@
 	return copies;
 }
 
-/* NULL is allowed. */
+/* Frees the copies; NULL is allowed. */
 void backend_copies_destroy(struct backend_copies *copies)
 {
 	if (!copies)
@@ -46,25 +46,25 @@
 	g_free(copies);
 }
 
-static gboolean copy_is_old(gpointer name G_GNUC_UNUSED, gpointer value,
-			    gpointer now_us)
+static gboolean copy_is_expired(gpointer name G_GNUC_UNUSED, gpointer value,
+				gpointer now_us)
 {
 	const struct copy *copy = value;
 
-	return copy->until_us < *(int64_t *)now_us;
+	return copy->expires_at_us < *(int64_t *)now_us;
 }
 
-static void drop_old(struct backend_copies *copies)
+static void copies_drop_expired(struct backend_copies *copies)
 {
 	int64_t now_us = g_get_monotonic_time();
 
-	g_hash_table_foreach_remove(copies->by_name, copy_is_old, &now_us);
+	g_hash_table_foreach_remove(copies->by_name, copy_is_expired, &now_us);
 }
 
-/* How many are held. */
+/* Returns the number of copies that have not expired. */
 int64_t backend_copies_count(struct backend_copies *copies)
 {
-	drop_old(copies);
+	copies_drop_expired(copies);
 	return g_hash_table_size(copies->by_name);
 }
 
@@ -75,11 +75,11 @@
 
 	copy->request = g_strdup(request);
 	copy->events = events;
-	copy->until_us = g_get_monotonic_time() + COPY_TTL_US;
+	copy->expires_at_us = g_get_monotonic_time() + COPY_TTL_US;
 	g_hash_table_replace(copies->by_name, g_strdup(name), copy);
 }
 
-/* Takes a part of a copy in, or drops what is over. */
+/* Handles POST /fake/copy: stores a copy, or removes one of an ended run. */
 void backend_copies_receive(struct backend_copies *copies,
 			    SoupServerMessage *message)
 {
@@ -102,13 +102,16 @@
 	fake_message_answer_text(message, 200, "ok\n");
 }
 
-/* True: there was such a copy of this request's run, and it is used now. */
-bool backend_copies_use(struct backend_copies *copies, const char *name,
-			const char *request)
+/*
+ * Removes the named copy and returns true if it is a copy of this request's
+ * run; returns false otherwise.
+ */
+bool backend_copies_take(struct backend_copies *copies, const char *name,
+			 const char *request)
 {
 	const struct copy *copy;
 
-	drop_old(copies);
+	copies_drop_expired(copies);
 	copy = g_hash_table_lookup(copies->by_name, name);
 	if (!copy || strcmp(copy->request, request) != 0)
 		return false;
@@ -120,13 +123,13 @@
 	SoupSession *session;
 };
 
-struct sending {
+struct upload {
 	SoupMessage *message;
-	backend_copy_done done; /* NULL: nobody asks */
+	backend_copy_done done; /* NULL: no callback */
 	void *data;
 };
 
-/* Calls nobody; calls under way are dropped with it. */
+/* Creates a sender; destroying it aborts the uploads in flight. */
 struct backend_copy_sender *backend_copy_sender_create(void)
 {
 	struct backend_copy_sender *sender =
@@ -139,7 +142,7 @@
 	return sender;
 }
 
-/* NULL is allowed. */
+/* Aborts the uploads and frees the sender; NULL is allowed. */
 void backend_copy_sender_destroy(struct backend_copy_sender *sender)
 {
 	if (!sender)
@@ -149,23 +152,23 @@
 	g_free(sender);
 }
 
-static void on_sent(GObject *source, GAsyncResult *result, gpointer data)
+static void on_uploaded(GObject *source, GAsyncResult *result, gpointer data)
 {
-	struct sending *sending = data;
+	struct upload *upload = data;
 	g_autoptr(GError) error = NULL;
 	GBytes *bytes = soup_session_send_and_read_finish(SOUP_SESSION(source),
 							  result, &error);
-	bool is_there = bytes && soup_message_get_status(sending->message) ==
-					 SOUP_STATUS_OK;
+	bool is_stored = bytes && soup_message_get_status(upload->message) ==
+					  SOUP_STATUS_OK;
 
-	if (!is_there)
-		fprintf(stderr, "copy: %s\n",
-			error ? error->message : "refused");
+	if (!is_stored)
+		fprintf(stderr, "copy not stored: %s\n",
+			error ? error->message : "rejected by the receiver");
 	g_clear_pointer(&bytes, g_bytes_unref);
-	if (sending->done)
-		sending->done(sending->data, is_there);
-	g_object_unref(sending->message);
-	g_free(sending);
+	if (upload->done)
+		upload->done(upload->data, is_stored);
+	g_object_unref(upload->message);
+	g_free(upload);
 }
 
 static void sender_post(struct backend_copy_sender *sender, const char *target,
@@ -177,11 +180,11 @@
 	g_autoptr(JsonNode) root = json_builder_get_root(builder);
 	char *text = json_to_string(root, FALSE);
 	GBytes *body = g_bytes_new_take(text, strlen(text));
-	struct sending *sending;
+	struct upload *upload;
 
 	g_object_unref(builder);
 	if (!message) {
-		fprintf(stderr, "copy: no address: %s\n", target);
+		fprintf(stderr, "copy not sent, invalid address: %s\n", target);
 		g_bytes_unref(body);
 		if (done)
 			done(data, false);
@@ -190,14 +193,14 @@
 	soup_message_set_request_body_from_bytes(message, "application/json",
 						 body);
 	g_bytes_unref(body);
-	sending = g_new0(struct sending, 1);
-	*sending = (struct sending){message, done, data};
+	upload = g_new0(struct upload, 1);
+	*upload = (struct upload){message, done, data};
 	soup_session_send_and_read_async(sender->session, message,
-					 G_PRIORITY_DEFAULT, NULL, on_sent,
-					 sending);
+					 G_PRIORITY_DEFAULT, NULL, on_uploaded,
+					 upload);
 }
 
-static JsonBuilder *begin_copy(const char *name)
+static JsonBuilder *copy_json_begin(const char *name)
 {
 	JsonBuilder *builder = json_builder_new();
 
@@ -207,12 +210,15 @@
 	return builder;
 }
 
-/* Brings the copy at the target up to date. */
+/*
+ * Creates or updates the copy at the target, an address HOST:PORT. The strings
+ * are copied; done may be NULL and may be called before this returns.
+ */
 void backend_copy_send(struct backend_copy_sender *sender, const char *target,
 		       const char *name, const char *request, int64_t events,
 		       backend_copy_done done, void *data)
 {
-	JsonBuilder *builder = begin_copy(name);
+	JsonBuilder *builder = copy_json_begin(name);
 
 	json_builder_set_member_name(builder, "request");
 	json_builder_add_string_value(builder, request);
@@ -222,11 +228,11 @@
 	sender_post(sender, target, builder, done, data);
 }
 
-/* Has the target drop the copy: its run has ended. */
+/* Makes the target remove the copy because its run has ended. */
 void backend_copy_send_end(struct backend_copy_sender *sender,
 			   const char *target, const char *name)
 {
-	JsonBuilder *builder = begin_copy(name);
+	JsonBuilder *builder = copy_json_begin(name);
 
 	json_builder_set_member_name(builder, "ended");
 	json_builder_add_boolean_value(builder, TRUE);
--- a/fakes/backend_copy.h
+++ b/fakes/backend_copy.h
@@ -10,10 +10,10 @@
 G_BEGIN_DECLS
 
 /*
- * Copies of other engines' runs, by name, as they arrive by POST /fake/copy:
+ * Copies of other engines' runs, by name, received by POST /fake/copy:
  * {"name", "request", "events"}, or {"name", "ended": true} once the run has
- * ended. A copy can be gone on from once; one that is no longer brought up to
- * date is dropped after a time.
+ * ended. A run can be continued from a copy once; a copy that gets no more
+ * updates expires.
  */
 struct backend_copies;
 
@@ -21,13 +21,14 @@
 void backend_copies_destroy(struct backend_copies *copies);
 void backend_copies_receive(struct backend_copies *copies,
 			    SoupServerMessage *message);
-bool backend_copies_use(struct backend_copies *copies, const char *name,
-			const char *request);
+bool backend_copies_take(struct backend_copies *copies, const char *name,
+			 const char *request);
 int64_t backend_copies_count(struct backend_copies *copies);
 
-/* The other end; done is called once, with whether the copy is there. */
-typedef void (*backend_copy_done)(void *data, bool is_there);
+/* Called once per copy sent: whether the receiver has stored it. */
+typedef void (*backend_copy_done)(void *data, bool is_stored);
 
+/* Sends copies of this engine's runs to other engines. */
 struct backend_copy_sender;
 
 struct backend_copy_sender *backend_copy_sender_create(void);
--- a/fakes/backend_journal.c
+++ b/fakes/backend_journal.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define JOURNAL_MODE 0644
+#define JOURNAL_FILE_MODE 0644
 
 struct backend_journal {
 	int fd;
@@ -15,16 +15,19 @@
 
 static const char *const event_names[] = {
 	[BACKEND_ARRIVAL] = "arrival", [BACKEND_RUN] = "run",
-	[BACKEND_GO_ON] = "go_on",     [BACKEND_END] = "end",
-	[BACKEND_LEFT] = "left",       [BACKEND_REFUSAL] = "refusal",
+	[BACKEND_CONTINUE] = "go_on",  [BACKEND_END] = "end",
+	[BACKEND_DISCONNECT] = "left", [BACKEND_REFUSAL] = "refusal",
 };
 
-/* Goes on with the file; NULL after a line on standard error. */
+/*
+ * Opens the file for appending. The caller destroys the journal; returns NULL
+ * after a message on standard error if the file cannot be opened.
+ */
 struct backend_journal *backend_journal_create(const char *path,
 					       const char *engine)
 {
 	int fd = open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC,
-		      JOURNAL_MODE);
+		      JOURNAL_FILE_MODE);
 	struct backend_journal *journal;
 
 	if (fd < 0) {
@@ -37,7 +40,7 @@
 	return journal;
 }
 
-/* NULL is allowed. */
+/* Closes the file and frees the journal; NULL is allowed. */
 void backend_journal_destroy(struct backend_journal *journal)
 {
 	if (!journal)
@@ -47,7 +50,10 @@
 	g_free(journal);
 }
 
-/* One write for a line, so that none is cut; NULL: none is kept. */
+/*
+ * Appends a line in a single write(), so that a kill leaves no partial line.
+ * Does nothing if the journal is NULL.
+ */
 void backend_journal_write(struct backend_journal *journal,
 			   enum backend_event event, const char *request,
 			   bool from_copy)
@@ -60,5 +66,6 @@
 			       g_get_monotonic_time(), event_names[event],
 			       request, journal->engine, from_copy);
 	if (write(journal->fd, line, strlen(line)) != (ssize_t)strlen(line))
-		fprintf(stderr, "journal: %s\n", strerror(errno));
+		fprintf(stderr, "cannot write to the journal: %s\n",
+			strerror(errno));
 }
--- a/fakes/backend_journal.h
+++ b/fakes/backend_journal.h
@@ -7,19 +7,20 @@
 G_BEGIN_DECLS
 
 /*
- * What an engine did, for whoever judges afterwards what ran where. A line
- * each, `time_us event request engine from_copy`, in the file before the engine
- * goes on: a killed engine leaves all of it. Times are CLOCK_MONOTONIC's.
+ * A log of an engine's actions, from which tests determine which engine ran
+ * which request. Each line, `time_us event request engine from_copy`, is
+ * written to the file before the engine continues, so the journal of a killed
+ * engine is complete. Times are from CLOCK_MONOTONIC.
  */
 struct backend_journal;
 
 enum backend_event {
-	BACKEND_ARRIVAL, /* a request, whatever becomes of it */
-	BACKEND_RUN,	 /* it is begun */
-	BACKEND_GO_ON,	 /* another engine's run is gone on with */
-	BACKEND_END,	 /* the run is over, its answer given away whole */
-	BACKEND_LEFT,	 /* the caller closed before that */
-	BACKEND_REFUSAL	 /* it isn't run here */
+	BACKEND_ARRIVAL,    /* a request arrived, whatever its outcome */
+	BACKEND_RUN,	    /* its run has started */
+	BACKEND_CONTINUE,   /* it continues another engine's run */
+	BACKEND_END,	    /* the run has ended, its answer is complete */
+	BACKEND_DISCONNECT, /* the caller disconnected before the end */
+	BACKEND_REFUSAL	    /* the engine refused to run it */
 };
 
 struct backend_journal *backend_journal_create(const char *path,
--- a/fakes/backend_report.c
+++ b/fakes/backend_report.c
@@ -4,7 +4,7 @@
 
 #define MEMORY_TOKENS 34000
 #define TOKENS_PER_EVENT 4
-#define USUAL_PRIORITY 5
+#define RUN_PRIORITY 5
 
 static void add_int(JsonBuilder *builder, const char *name, int64_t value)
 {
@@ -32,12 +32,12 @@
 	json_builder_end_array(builder);
 }
 
-static int64_t tokens_of(const struct backend_run *run)
+static int64_t run_tokens(const struct backend_run *run)
 {
-	return run->next * TOKENS_PER_EVENT;
+	return run->next_event * TOKENS_PER_EVENT;
 }
 
-/* Rows of id, tokens in memory, events made, priority. */
+/* Adds a row for each run: id, tokens in memory, events sent, priority. */
 static void add_runs(JsonBuilder *builder, const struct backend *backend)
 {
 	json_builder_set_member_name(builder, "runs");
@@ -48,9 +48,9 @@
 
 		json_builder_begin_array(builder);
 		json_builder_add_string_value(builder, run->id);
-		json_builder_add_int_value(builder, tokens_of(run));
-		json_builder_add_int_value(builder, run->made);
-		json_builder_add_int_value(builder, USUAL_PRIORITY);
+		json_builder_add_int_value(builder, run_tokens(run));
+		json_builder_add_int_value(builder, run->events_sent);
+		json_builder_add_int_value(builder, RUN_PRIORITY);
 		json_builder_end_array(builder);
 	}
 	json_builder_end_array(builder);
@@ -58,15 +58,14 @@
 
 static void add_leaving(JsonBuilder *builder, const struct backend *backend)
 {
-	int64_t left_us = backend->leaves_at_us - g_get_monotonic_time();
+	int64_t remaining_us = backend->leave_at_us - g_get_monotonic_time();
 
-	add_text(builder, "state",
-		 backend->leaves_at_us ? "draining" : "ready");
-	if (backend->leaves_at_us)
-		add_int(builder, "leaves_ms", MAX(left_us, 0) / 1000);
+	add_text(builder, "state", backend->leave_at_us ? "draining" : "ready");
+	if (backend->leave_at_us)
+		add_int(builder, "leaves_ms", MAX(remaining_us, 0) / 1000);
 }
 
-/* Answers /v1/report. */
+/* Answers GET /v1/report with the engine's load report. */
 void backend_report_answer(const struct backend *backend,
 			   SoupServerMessage *message)
 {
@@ -74,7 +73,7 @@
 	int64_t used = 0;
 
 	for (guint i = 0; i < backend->runs->len; i++)
-		used += tokens_of(g_ptr_array_index(backend->runs, i));
+		used += run_tokens(g_ptr_array_index(backend->runs, i));
 	json_builder_begin_object(builder);
 	add_text(builder, "stage", "both");
 	add_models(builder);
@@ -93,7 +92,10 @@
 	fake_message_answer_json(message, 200, builder);
 }
 
-/* Answers /fake/state: what it was told and how often it ran something. */
+/*
+ * Answers GET /fake/state: counts of runs, moves and copies, the tenant and
+ * deadline of the last request, and whether any request carried a key.
+ */
 void backend_state_answer(const struct backend *backend,
 			  SoupServerMessage *message)
 {
@@ -101,9 +103,9 @@
 
 	json_builder_begin_object(builder);
 	add_int(builder, "runs", backend->run_count);
-	add_int(builder, "taken_over", backend->taken_over);
-	add_int(builder, "left", backend->left);
-	add_int(builder, "moves", backend->moves);
+	add_int(builder, "taken_over", backend->takeover_count);
+	add_int(builder, "left", backend->disconnect_count);
+	add_int(builder, "moves", backend->move_count);
 	add_int(builder, "copies", backend_copies_count(backend->copies));
 	add_text(builder, "tenant", backend->tenant ? backend->tenant : "");
 	add_text(builder, "deadline",
--- a/fakes/backend_run.c
+++ b/fakes/backend_run.c
@@ -4,25 +4,28 @@
 #include <string.h>
 #include <unistd.h>
 
-/* A backup is begun so long after the first event, and then kept up to date. */
-#define BACKUP_BEGIN_MS 300
-#define BACKUP_PAUSE_MS 200
-/* A request with this text in its body crashes whoever begins to run it. */
+/*
+ * The first backup copy is sent this long after the first event; after that it
+ * is updated at the interval.
+ */
+#define BACKUP_START_MS 300
+#define BACKUP_INTERVAL_MS 200
+/* A request with this text in its body crashes each engine that runs it. */
 #define POISON "[[poison]]"
 
 static void crash(const char *reason, const char *request)
 {
 	fprintf(stderr, "crash: %s, request %s\n", reason, request);
-	_exit(CRASH_STATUS);
+	_exit(CRASH_EXIT_STATUS);
 }
 
-static void run_note(const struct backend_run *run, enum backend_event event)
+static void run_journal(const struct backend_run *run, enum backend_event event)
 {
 	backend_journal_write(run->backend->journal, event, run->id,
 			      run->from_copy);
 }
 
-static void run_stop_watch(struct backend_run *run)
+static void run_stop_close_watch(struct backend_run *run)
 {
 	if (!run->close_watch)
 		return;
@@ -30,9 +33,9 @@
 	g_clear_pointer(&run->close_watch, g_source_unref);
 }
 
-static void run_end(struct backend_run *run)
+static void run_free(struct backend_run *run)
 {
-	run_stop_watch(run);
+	run_stop_close_watch(run);
 	if (run->timer)
 		g_source_remove(run->timer);
 	if (run->copy_timer)
@@ -45,23 +48,27 @@
 	g_free(run);
 }
 
-static void on_finished(SoupServerMessage *message G_GNUC_UNUSED, gpointer data)
+static void on_message_finished(SoupServerMessage *message G_GNUC_UNUSED,
+				gpointer data)
 {
 	struct backend_run *run = data;
 
 	if (!run->answered) {
-		run->backend->left++;
-		run_note(run, BACKEND_LEFT);
+		run->backend->disconnect_count++;
+		run_journal(run, BACKEND_DISCONNECT);
 	}
-	run_end(run);
+	run_free(run);
 }
 
-/* Nothing has been sent yet: libsoup would hear of it at the first write. */
-static void on_closed(void *data)
+/*
+ * The caller disconnected before anything was sent. libsoup would notice only
+ * at the first write.
+ */
+static void on_disconnect(void *data)
 {
 	struct backend_run *run = data;
 
-	run_stop_watch(run);
+	run_stop_close_watch(run);
 	if (run->timer)
 		g_source_remove(run->timer);
 	run->timer = 0;
@@ -69,30 +76,31 @@
 	soup_server_message_unpause(run->message);
 }
 
-/* Has step called after the delay, unless the caller closes before. */
-static void run_wait(struct backend_run *run, GSourceFunc step)
+/* Calls step after answer_delay_ms, unless the caller disconnects first. */
+static void run_delay(struct backend_run *run, GSourceFunc step)
 {
 	soup_server_message_pause(run->message);
-	run->close_watch = fake_message_on_close(run->message, on_closed, run);
+	run->close_watch =
+		fake_message_on_close(run->message, on_disconnect, run);
 	run->timer =
 		g_timeout_add((guint)run->backend->answer_delay_ms, step, run);
 }
 
-static gboolean copy_step(gpointer data)
+static gboolean run_send_copy(gpointer data)
 {
 	struct backend_run *run = data;
 
 	backend_copy_send(run->backend->sender, run->backup, run->id, run->id,
-			  run->next, NULL, NULL);
-	run->copy_timer = g_timeout_add(BACKUP_PAUSE_MS, copy_step, run);
+			  run->next_event, NULL, NULL);
+	run->copy_timer = g_timeout_add(BACKUP_INTERVAL_MS, run_send_copy, run);
 	return G_SOURCE_REMOVE;
 }
 
-/* The answer is whole; what becomes of it on the way is not known here. */
+/* The answer is complete. Whether it reaches the caller is not known here. */
 static void run_complete(struct backend_run *run)
 {
 	run->answered = true;
-	run_note(run, BACKEND_END);
+	run_journal(run, BACKEND_END);
 	if (!run->copy_timer)
 		return;
 	g_source_remove(run->copy_timer);
@@ -100,20 +108,20 @@
 	backend_copy_send_end(run->backend->sender, run->backup, run->id);
 }
 
-static void send_event(struct backend_run *run)
+static void run_send_event(struct backend_run *run)
 {
 	char event[160];
 
 	g_snprintf(event, sizeof(event),
 		   "id: %" G_GINT64_FORMAT
 		   "\ndata: {\"text\":\"%s.%" G_GINT64_FORMAT "\"}\n\n",
-		   run->next, run->id, run->next);
+		   run->next_event, run->id, run->next_event);
 	soup_message_body_append(
 		soup_server_message_get_response_body(run->message),
 		SOUP_MEMORY_COPY, event, strlen(event));
 	soup_server_message_unpause(run->message);
-	run->next++;
-	run->made++;
+	run->next_event++;
+	run->events_sent++;
 }
 
 static gboolean generation_step(gpointer data)
@@ -122,13 +130,14 @@
 	const struct backend *backend = run->backend;
 
 	if (backend->crash_after_events &&
-	    run->made >= backend->crash_after_events)
-		crash("after events", run->id);
-	if (run->next < backend->events) {
-		send_event(run);
-		if (run->made == 1 && run->backup && backend->real_copies)
-			run->copy_timer =
-				g_timeout_add(BACKUP_BEGIN_MS, copy_step, run);
+	    run->events_sent >= backend->crash_after_events)
+		crash("after crash_after_events events", run->id);
+	if (run->next_event < backend->events) {
+		run_send_event(run);
+		if (run->events_sent == 1 && run->backup &&
+		    backend->real_copies)
+			run->copy_timer = g_timeout_add(BACKUP_START_MS,
+							run_send_copy, run);
 		return G_SOURCE_CONTINUE;
 	}
 	run_complete(run);
@@ -139,11 +148,11 @@
 	return G_SOURCE_REMOVE;
 }
 
-static gboolean generation_first(gpointer data)
+static gboolean generation_start(gpointer data)
 {
 	struct backend_run *run = data;
 
-	run_stop_watch(run);
+	run_stop_close_watch(run);
 	run->timer = g_timeout_add((guint)run->backend->pace_ms,
 				   generation_step, run);
 	return G_SOURCE_REMOVE;
@@ -156,7 +165,7 @@
 		soup_server_message_get_response_headers(run->message);
 
 	if (last)
-		run->next = g_ascii_strtoll(last, NULL, 10) + 1;
+		run->next_event = g_ascii_strtoll(last, NULL, 10) + 1;
 	soup_message_headers_set_encoding(
 		headers, run->backend->unframed ? SOUP_ENCODING_EOF
 						: SOUP_ENCODING_CHUNKED);
@@ -166,21 +175,24 @@
 		soup_server_message_get_response_body(run->message), FALSE);
 	soup_server_message_set_status(run->message, 200, NULL);
 	if (run->backend->answer_delay_ms > 0) {
-		run_wait(run, generation_first);
+		run_delay(run, generation_start);
 		return;
 	}
 	soup_server_message_pause(run->message);
-	generation_first(run);
+	generation_start(run);
 }
 
-/* A share of the requests, the same ones at each engine. */
-static bool fails(const struct backend *backend, const char *id)
+/*
+ * Whether the request fails: with failing every one, else error_percent of them
+ * by id, the same ones at each engine.
+ */
+static bool is_failing(const struct backend *backend, const char *id)
 {
 	return backend->failing ||
 	       g_str_hash(id) % 100 < (guint64)backend->error_percent;
 }
 
-static void answer(struct backend_run *run)
+static void run_answer_plain(struct backend_run *run)
 {
 	const struct backend *backend = run->backend;
 	char text[256];
@@ -188,7 +200,7 @@
 	run_complete(run);
 	if (backend->crash_before_answer)
 		crash("before the answer", run->id);
-	if (backend->own_status || fails(backend, run->id)) {
+	if (backend->own_status || is_failing(backend, run->id)) {
 		fake_message_answer_text(
 			run->message,
 			backend->own_status ? (guint)backend->own_status : 500,
@@ -200,13 +212,13 @@
 	fake_message_answer_text(run->message, 200, text);
 }
 
-static gboolean answer_later(gpointer data)
+static gboolean answer_delayed(gpointer data)
 {
 	struct backend_run *run = data;
 
-	run_stop_watch(run);
+	run_stop_close_watch(run);
 	run->timer = 0;
-	answer(run);
+	run_answer_plain(run);
 	soup_server_message_unpause(run->message);
 	return G_SOURCE_REMOVE;
 }
@@ -214,9 +226,9 @@
 static void run_answer(struct backend_run *run)
 {
 	if (run->backend->answer_delay_ms > 0)
-		run_wait(run, answer_later);
+		run_delay(run, answer_delayed);
 	else
-		answer(run);
+		run_answer_plain(run);
 }
 
 static bool is_poison(SoupServerMessage *message)
@@ -229,7 +241,7 @@
 	return text && g_strstr_len(text, (gssize)size, POISON);
 }
 
-/* Runs a request, or goes on with another engine's run of it. */
+/* Runs a request, or continues another engine's run of it. */
 void backend_run_begin(struct backend *backend, SoupServerMessage *message,
 		       const char *id, const char *path)
 {
@@ -240,24 +252,25 @@
 	run->id = g_strdup(id);
 	run->path = g_strdup(path);
 	run->backup =
-		g_strdup(fake_message_header(message, FIELD("Kv-Backup")));
+		g_strdup(fake_message_header(message, HEADER("Kv-Backup")));
 	run->from_copy = fake_message_header(message, "Kv-From") != NULL;
 	g_ptr_array_add(backend->runs, run);
 	if (run->from_copy)
-		backend->taken_over++;
+		backend->takeover_count++;
 	else
 		backend->run_count++;
-	run_note(run, run->from_copy ? BACKEND_GO_ON : BACKEND_RUN);
+	run_journal(run, run->from_copy ? BACKEND_CONTINUE : BACKEND_RUN);
 	if (is_poison(message))
 		crash("poison", id);
-	g_signal_connect(message, "finished", G_CALLBACK(on_finished), run);
-	if (backend->plain || backend->own_status || fails(backend, id))
+	g_signal_connect(message, "finished", G_CALLBACK(on_message_finished),
+			 run);
+	if (backend->plain || backend->own_status || is_failing(backend, id))
 		run_answer(run);
 	else
 		run_generate(run);
 }
 
-/* The run of a request that is at work here; NULL: none. */
+/* Returns the unfinished run of a request, or NULL; the backend owns it. */
 const struct backend_run *backend_run_find(const struct backend *backend,
 					   const char *id)
 {
--- a/fakes/backend_state.h
+++ b/fakes/backend_state.h
@@ -12,67 +12,68 @@
 G_BEGIN_DECLS
 
 /*
- * What the parts of the stand-in for engines share. fake_backend.c: requests
- * and the switches. backend_run.c: runs, from their begin to their end.
- * backend_report.c: what the engine tells of itself.
+ * State shared by the parts of the fake engine. fake_backend.c: requests and
+ * the modes. backend_run.c: runs, from start to end. backend_report.c: the load
+ * report and the state for tests.
  */
-#define FIELD(name) "X-Siskinlink-" name
 
-/* Exit status of a crash, so that it is told from an end that was asked for. */
-#define CRASH_STATUS 3
+#define HEADER(name) "X-Siskinlink-" name
+
+/* Exit status of a crash, which distinguishes it from a requested exit. */
+#define CRASH_EXIT_STATUS 3
 
 struct backend {
 	char *id;
-	struct backend_journal *journal; /* NULL: none is kept */
+	struct backend_journal *journal; /* NULL: no journal */
 	struct backend_copies *copies;
 	struct backend_copy_sender *sender;
-	GPtrArray *runs; /* struct backend_run, what is at work */
+	GPtrArray *runs; /* struct backend_run, active runs */
 
-	int64_t events;		    /* of a generation */
-	int64_t pace_ms;	    /* between two */
-	int64_t crash_after_events; /* of a run, then the process ends */
-	int64_t error_percent;	    /* its own 500 for so many requests */
-	int64_t crash_after_ms; /* where crashing, as after a wait in a queue */
-	int64_t own_status;	/* answers by it after a run; 0: none */
-	int64_t answer_delay_ms; /* before an answer or its first event */
-	int64_t leave_ms;	 /* once: the process ends after it */
-	int64_t leaves_at_us;	 /* 0: it stays */
+	int64_t events;		    /* per generation */
+	int64_t pace_ms;	    /* between two events */
+	int64_t crash_after_events; /* of a run; 0: never */
+	int64_t error_percent;	    /* of requests answered 500 */
+	int64_t crash_after_ms;	    /* as after a wait in a queue */
+	int64_t own_status;	    /* of the answer after a run; 0: default */
+	int64_t answer_delay_ms;    /* before an answer or its first event */
+	int64_t leave_ms;	    /* until the exit; the first value counts */
+	int64_t leave_at_us;	    /* 0: not leaving */
 
 	int64_t run_count;
-	int64_t taken_over;
-	int64_t left; /* callers that closed early */
-	int64_t moves;
+	int64_t takeover_count;	  /* runs continued from a copy */
+	int64_t disconnect_count; /* callers that disconnected early */
+	int64_t move_count;
 	char *tenant; /* of the last request */
 	char *deadline;
 	bool saw_key;
 
 	int plain;
-	bool full;		  /* runs nothing: 503 */
-	bool failing;		  /* its own 500 */
-	bool no_copy;		  /* has no memory to go on from */
-	bool no_room;		  /* for a copy of another engine's run */
-	bool unframed;		  /* answers without a length */
-	bool crashing;		  /* each request resets its connection */
-	bool crash_before_answer; /* once a plain request has run */
-	bool shed_silently;	  /* 503 without the word that it did not run */
-	bool mute;		  /* takes requests in and never answers */
-	bool real_copies;	  /* else each copy asked for is there */
+	bool full;		  /* runs nothing: 503, Not-Executed */
+	bool failing;		  /* answers 500 */
+	bool no_copy;		  /* has no copies and accepts none */
+	bool no_room;		  /* refuses moves and copies: 503 */
+	bool unframed;		  /* streams without chunks, up to the close */
+	bool crashing;		  /* resets the connection of each request */
+	bool crash_before_answer; /* after the run of a plain request */
+	bool shed_silently;	  /* 503 without Not-Executed */
+	bool mute;		  /* accepts requests and never answers */
+	bool real_copies;	  /* false: each requested copy exists */
 };
 
-/* A request at work, plain or generating, until its answer is given away. */
+/* A running request, plain or generating, until its message is finished. */
 struct backend_run {
 	struct backend *backend;
 	SoupServerMessage *message;
 	char *id;
 	char *path;
-	char *backup;	/* where copies go; NULL: none is asked for */
-	bool from_copy; /* another engine's run */
-	bool answered;	/* whole */
-	int64_t next;	/* event */
-	int64_t made;	/* events of this engine */
+	char *backup;	     /* address for copies; NULL: none requested */
+	bool from_copy;	     /* continues another engine's run */
+	bool answered;	     /* the answer is complete */
+	int64_t next_event;  /* number of the next event */
+	int64_t events_sent; /* by this engine */
 	guint timer;
 	guint copy_timer;
-	GSource *close_watch; /* while nothing is sent; else NULL */
+	GSource *close_watch; /* while the answer is delayed; else NULL */
 };
 
 /* backend_run.c */
--- a/fakes/fake_backend.c
+++ b/fakes/fake_backend.c
@@ -5,23 +5,24 @@
 #include <unistd.h>
 
 /*
- * A stand-in for the platform's engines, plain and generating. Event I of a
- * generation is a function of the request's id, so that any engine can go on
- * with it and a test sees what is missing or doubled. What it was told and how
- * often it ran a request is told by GET /fake/state, and by the journal beyond
- * its end; the faults are switches.
+ * A fake of the platform's engines, plain and generating. Event I of a
+ * generation depends only on I and the request's id, so any engine can continue
+ * it and a test can detect missing or duplicate events. GET /fake/state shows
+ * the last request's fields and the number of runs; the journal keeps the runs
+ * after the process has ended. Faults are switched by POST /fake/mode.
  */
 
-static void answer_not_run(SoupServerMessage *message, unsigned status)
+static void answer_not_executed(SoupServerMessage *message, unsigned status)
 {
 	soup_message_headers_replace(
 		soup_server_message_get_response_headers(message),
-		FIELD("Not-Executed"), "1");
+		HEADER("Not-Executed"), "1");
 	fake_message_answer_text(message, status, "");
 }
 
-/* Whether there is a copy to go on from, named IP:PORT/NAME. */
-static bool has_copy(struct backend *backend, const char *from, const char *id)
+/* Takes the copy named IP:PORT/NAME and returns whether it existed. */
+static bool backend_take_copy(struct backend *backend, const char *from,
+			      const char *id)
 {
 	const char *slash = strchr(from, '/');
 
@@ -29,29 +30,30 @@
 		return false;
 	if (!backend->real_copies)
 		return true;
-	return slash && backend_copies_use(backend->copies, slash + 1, id);
+	return slash && backend_copies_take(backend->copies, slash + 1, id);
 }
 
-/* What the request says beside its path; false when it isn't run here. */
+/* Answers with a refusal and returns false if the request must not run here. */
 static bool backend_accepts(struct backend *backend, SoupServerMessage *message,
 			    const char *id)
 {
 	const char *expected =
-		fake_message_header(message, FIELD("Expect-Instance"));
+		fake_message_header(message, HEADER("Expect-Instance"));
 	const char *from = fake_message_header(message, "Kv-From");
 
 	if (expected && strcmp(expected, backend->id) != 0)
-		answer_not_run(message, 421);
+		answer_not_executed(message, 421);
 	else if (backend->shed_silently)
 		fake_message_answer_text(message, 503, "shed");
-	else if (backend->full || (from && !has_copy(backend, from, id)))
-		answer_not_run(message, 503);
+	else if (backend->full ||
+		 (from && !backend_take_copy(backend, from, id)))
+		answer_not_executed(message, 503);
 	else
 		return true;
 	return false;
 }
 
-static void note(char **to, SoupServerMessage *message, const char *name)
+static void save_header(char **to, SoupServerMessage *message, const char *name)
 {
 	const char *value = fake_message_header(message, name);
 
@@ -59,29 +61,31 @@
 	*to = g_strdup(value ? value : "");
 }
 
-static void note_request(struct backend *backend, SoupServerMessage *message)
+static void save_request_headers(struct backend *backend,
+				 SoupServerMessage *message)
 {
-	note(&backend->tenant, message, FIELD("Tenant"));
-	note(&backend->deadline, message, FIELD("Deadline-Ms"));
+	save_header(&backend->tenant, message, HEADER("Tenant"));
+	save_header(&backend->deadline, message, HEADER("Deadline-Ms"));
 	backend->saw_key |=
 		fake_message_header(message, "Authorization") != NULL;
 }
 
-static gboolean reset_late(gpointer data)
+static gboolean reset_delayed(gpointer data)
 {
 	fake_message_reset(data);
 	return G_SOURCE_REMOVE;
 }
 
-/* Runs it only as far as anybody can tell from the journal. */
-static void run_and_reset(struct backend *backend, SoupServerMessage *message,
-			  const char *id, bool from_copy)
+/* Journals and counts a run without running it, then resets the connection. */
+static void journal_and_reset(struct backend *backend,
+			      SoupServerMessage *message, const char *id,
+			      bool from_copy)
 {
 	backend_journal_write(backend->journal,
-			      from_copy ? BACKEND_GO_ON : BACKEND_RUN, id,
+			      from_copy ? BACKEND_CONTINUE : BACKEND_RUN, id,
 			      from_copy);
 	if (from_copy)
-		backend->taken_over++;
+		backend->takeover_count++;
 	else
 		backend->run_count++;
 	if (backend->crash_after_ms == 0) {
@@ -90,13 +94,14 @@
 	}
 	soup_server_message_pause(message);
 	g_timeout_add_full(G_PRIORITY_DEFAULT, (guint)backend->crash_after_ms,
-			   reset_late, g_object_ref(message), g_object_unref);
+			   reset_delayed, g_object_ref(message),
+			   g_object_unref);
 }
 
 static void on_request(void *data, SoupServerMessage *message, const char *path)
 {
 	struct backend *backend = data;
-	const char *id = fake_message_header(message, FIELD("Request-Id"));
+	const char *id = fake_message_header(message, HEADER("Request-Id"));
 	bool from_copy = fake_message_header(message, "Kv-From") != NULL;
 	SoupMessageHeaders *headers =
 		soup_server_message_get_response_headers(message);
@@ -104,31 +109,31 @@
 	backend_journal_write(backend->journal, BACKEND_ARRIVAL, id ? id : "-",
 			      from_copy);
 	if (!id) {
-		answer_not_run(message, 400);
+		answer_not_executed(message, 400);
 		return;
 	}
 	if (backend->mute) {
 		soup_server_message_pause(message);
 		return;
 	}
-	soup_message_headers_replace(headers, FIELD("Request-Id"), id);
+	soup_message_headers_replace(headers, HEADER("Request-Id"), id);
 	if (!backend_accepts(backend, message, id)) {
 		backend_journal_write(backend->journal, BACKEND_REFUSAL, id,
 				      from_copy);
 		return;
 	}
-	note_request(backend, message);
-	soup_message_headers_replace(headers, FIELD("Engine-Stamp"),
+	save_request_headers(backend, message);
+	soup_message_headers_replace(headers, HEADER("Engine-Stamp"),
 				     backend->id);
-	if (backend->leaves_at_us)
+	if (backend->leave_at_us)
 		soup_message_headers_replace(headers, "Connection", "close");
 	if (backend->crashing)
-		run_and_reset(backend, message, id, from_copy);
+		journal_and_reset(backend, message, id, from_copy);
 	else
 		backend_run_begin(backend, message, id, path);
 }
 
-/* A copy for another engine that the caller waits for. */
+/* A requested copy to another engine; its caller waits until it is stored. */
 struct move {
 	SoupServerMessage *message;
 	char *handle;
@@ -145,11 +150,11 @@
 	fake_message_answer_text(message, 200, text);
 }
 
-static void on_copied(void *data, bool is_there)
+static void on_move_done(void *data, bool is_stored)
 {
 	struct move *move = data;
 
-	if (is_there)
+	if (is_stored)
 		answer_move(move->message, move->handle, move->created);
 	else
 		fake_message_answer_text(move->message, 503, "no room");
@@ -176,12 +181,13 @@
 	if (run) {
 		move = g_new0(struct move, 1);
 		move->message = g_object_ref(message);
-		move->handle = g_strdup_printf("%s-h%" G_GINT64_FORMAT,
-					       backend->id, backend->moves);
-		move->created = run->next;
+		move->handle =
+			g_strdup_printf("%s-h%" G_GINT64_FORMAT, backend->id,
+					backend->move_count);
+		move->created = run->next_event;
 		soup_server_message_pause(message);
 		backend_copy_send(backend->sender, target, move->handle,
-				  run->id, run->next, on_copied, move);
+				  run->id, run->next_event, on_move_done, move);
 	} else {
 		fake_message_answer_text(message, 404, "no such run");
 	}
@@ -193,7 +199,7 @@
 	struct backend *backend = data;
 
 	(void)path;
-	backend->moves++;
+	backend->move_count++;
 	if (backend->mute)
 		soup_server_message_pause(message);
 	else if (backend->no_room)
@@ -232,26 +238,28 @@
 	backend_state_answer(data, message);
 }
 
-static gboolean on_left(gpointer data)
+static gboolean on_leave_time(gpointer data)
 {
 	const struct backend *backend = data;
 
-	fprintf(stderr, "left, %u runs at work\n", backend->runs->len);
+	fprintf(stderr, "leave time reached, %u active runs\n",
+		backend->runs->len);
 	_exit(0);
 }
 
-static void on_switch(void *data)
+static void on_modes_changed(void *data)
 {
 	struct backend *backend = data;
 
-	if (backend->leave_ms <= 0 || backend->leaves_at_us)
+	if (backend->leave_ms <= 0 || backend->leave_at_us)
 		return;
-	backend->leaves_at_us =
+	backend->leave_at_us =
 		g_get_monotonic_time() + backend->leave_ms * 1000;
-	g_timeout_add((guint)backend->leave_ms, on_left, backend);
+	g_timeout_add((guint)backend->leave_ms, on_leave_time, backend);
 }
 
-static void backend_serve(struct backend *backend, struct fake_server *server)
+static void backend_add_handlers(struct backend *backend,
+				 struct fake_server *server)
 {
 	fake_server_add_handler(server, "/v1/kv-move", on_move, backend);
 	fake_server_add_handler(server, "/v1/report", on_report, backend);
@@ -271,7 +279,7 @@
 	return !journal || backend->journal;
 }
 
-/* Call it when the server is gone, and its messages with it. */
+/* Must be called after the server and its messages are destroyed. */
 static void backend_clear(struct backend *backend)
 {
 	backend_copy_sender_destroy(backend->sender);
@@ -290,19 +298,20 @@
 	char *journal = NULL;
 	int real_copies = 0;
 	struct poptOption options[] = {
-		{"id", 0, POPT_ARG_STRING, &id, 0, "of this start", "ID"},
+		{"id", 0, POPT_ARG_STRING, &id, 0,
+		 "instance id, \"i-0\" by default", "ID"},
 		{"journal", 0, POPT_ARG_STRING, &journal, 0,
-		 "appends what it does", "FILE"},
+		 "journal of requests and runs to append to", "FILE"},
 		{"events", 0, POPT_ARG_LONG, &backend.events, 0,
-		 "of a generation", "COUNT"},
+		 "number of events of a generation", "COUNT"},
 		{"pace-ms", 0, POPT_ARG_LONG, &backend.pace_ms, 0,
-		 "between two of them", "MS"},
+		 "time between two events", "MS"},
 		{"answer-delay-ms", 0, POPT_ARG_LONG, &backend.answer_delay_ms,
-		 0, "before an answer or its first event", "MS"},
+		 0, "delay before an answer or its first event", "MS"},
 		{"real-copies", 0, POPT_ARG_NONE, &real_copies, 0,
-		 "goes on only from what has arrived", NULL},
+		 "continue only from copies that were received", NULL},
 		{"plain", 0, POPT_ARG_NONE, &backend.plain, 0,
-		 "answers at once, no stream", NULL},
+		 "answer with one body instead of a stream", NULL},
 		POPT_TABLEEND};
 	struct fake_server *server = fake_server_create(argc, argv, options);
 	const struct fake_mode modes[] = {
@@ -333,9 +342,9 @@
 		return status;
 	backend.real_copies = real_copies != 0;
 	if (backend_init(&backend, id, journal)) {
-		backend_serve(&backend, server);
+		backend_add_handlers(&backend, server);
 		fake_server_set_modes(server, modes, G_N_ELEMENTS(modes),
-				      on_switch, &backend);
+				      on_modes_changed, &backend);
 		status = fake_server_run(server);
 	}
 	fake_server_destroy(server);
--- a/fakes/prefix_cache.c
+++ b/fakes/prefix_cache.c
@@ -1,6 +1,6 @@
 #include "fakes/prefix_cache.h"
 
-#define EVENTS_KEPT 512
+#define EVENTS_MAX 512
 
 struct cached_prefix {
 	uint64_t hash;
@@ -10,13 +10,13 @@
 struct prefix_cache {
 	int64_t capacity_tokens;
 	int64_t used_tokens;
-	GQueue *prefixes;  /* struct cached_prefix, last used first */
+	GQueue *prefixes;  /* struct cached_prefix, most recently used first */
 	GHashTable *links; /* hash: link in prefixes */
-	struct engine_cache_event events[EVENTS_KEPT];
+	struct engine_cache_event events[EVENTS_MAX];
 	int64_t event_count;
 };
 
-/* An empty cache. */
+/* Creates an empty cache; the caller destroys it. */
 struct prefix_cache *prefix_cache_create(int64_t capacity_tokens)
 {
 	struct prefix_cache *cache = g_new0(struct prefix_cache, 1);
@@ -41,14 +41,14 @@
 			    bool stored)
 {
 	int64_t number = ++cache->event_count;
-	struct engine_cache_event *event = &cache->events[number % EVENTS_KEPT];
+	struct engine_cache_event *event = &cache->events[number % EVENTS_MAX];
 
 	event->number = number;
 	event->prefix_hash = hash;
 	event->stored = stored;
 }
 
-static void cache_drop_last(struct prefix_cache *cache)
+static void cache_evict_last(struct prefix_cache *cache)
 {
 	struct cached_prefix *prefix = g_queue_pop_tail(cache->prefixes);
 
@@ -71,8 +71,9 @@
 }
 
 /*
- * Keeps a prefix, or notes that it was used. None, with hash 0, and one larger
- * than the cache are left out.
+ * Stores a prefix, or marks a stored one as most recently used. Ignores hash 0,
+ * which means no prefix, a prefix without tokens, and one larger than the
+ * cache.
  */
 void prefix_cache_store(struct prefix_cache *cache, uint64_t hash,
 			int64_t tokens)
@@ -89,10 +90,10 @@
 	}
 	cache_add(cache, hash, tokens);
 	while (cache->used_tokens > cache->capacity_tokens)
-		cache_drop_last(cache);
+		cache_evict_last(cache);
 }
 
-/* Tokens kept of this prefix; 0: none. */
+/* Returns the number of tokens cached for this prefix, or 0. */
 int64_t prefix_cache_find(const struct prefix_cache *cache, uint64_t hash)
 {
 	const struct cached_prefix *prefix;
@@ -107,23 +108,23 @@
 	return prefix->tokens;
 }
 
-/* Drops all prefixes; each drop is an event. */
+/* Evicts all prefixes; each eviction is an event. */
 void prefix_cache_clear(struct prefix_cache *cache)
 {
 	while (!g_queue_is_empty(cache->prefixes))
-		cache_drop_last(cache);
+		cache_evict_last(cache);
 }
 
 /*
- * Appends the events numbered above `after` that are still kept; a reader sees
- * a gap where older ones were forgotten.
+ * Appends the events numbered above `after` that are still kept, oldest first.
+ * Older events are overwritten, which the reader sees as a gap in the numbers.
  */
 void prefix_cache_events(const struct prefix_cache *cache, int64_t after,
 			 GArray *events)
 {
-	int64_t oldest = cache->event_count - EVENTS_KEPT + 1;
+	int64_t oldest = cache->event_count - EVENTS_MAX + 1;
 
 	for (int64_t n = MAX(MAX(after + 1, oldest), 1);
 	     n <= cache->event_count; n++)
-		g_array_append_val(events, cache->events[n % EVENTS_KEPT]);
+		g_array_append_val(events, cache->events[n % EVENTS_MAX]);
 }
--- a/fakes/prefix_cache.h
+++ b/fakes/prefix_cache.h
@@ -8,16 +8,16 @@
 G_BEGIN_DECLS
 
 /*
- * Prefixes of prompts whose memory the model engine keeps; the least recently
- * used yield. What comes and goes can be read as numbered events.
+ * Prompt prefixes whose tokens the model engine keeps in memory, with eviction
+ * of the least recently used. Insertions and evictions are numbered events.
  */
 struct prefix_cache;
 
-/* A prefix entered the cache or fell out of it. Old events are forgotten. */
+/* A prefix was stored or evicted. Only the latest events are kept. */
 struct engine_cache_event {
-	int64_t number; /* from 1 on, without gaps */
+	int64_t number; /* from 1, without gaps */
 	uint64_t prefix_hash;
-	bool stored;
+	bool stored; /* false: evicted */
 };
 
 struct prefix_cache *prefix_cache_create(int64_t capacity_tokens);
--- a/tests/fake_backend_test.cc
+++ b/tests/fake_backend_test.cc
@@ -9,7 +9,7 @@
 namespace
 {
 
-/* A stand-in for an engine in a process of its own, with a journal. */
+/* A fake engine in its own process, with a journal. */
 class Backend
 {
       public:
@@ -43,17 +43,17 @@
 
 	~Backend()
 	{
-		kill_it();
+		force_exit();
 		g_object_unref(process);
 	}
 
-	void kill_it()
+	void force_exit()
 	{
 		g_subprocess_force_exit(process);
 		g_subprocess_wait(process, nullptr, nullptr);
 	}
 
-	int wait_end()
+	int wait_exit()
 	{
 		g_subprocess_wait(process, nullptr, nullptr);
 		return g_subprocess_get_if_exited(process)
@@ -61,7 +61,7 @@
 			       : -1;
 	}
 
-	/* Sends a request and leaves its answer to the caller. */
+	/* Sends a request and returns the connection, its answer unread. */
 	std::unique_ptr<Connection> send(const std::string &line,
 					 const std::string &fields = "",
 					 const std::string &body = "") const
@@ -76,31 +76,32 @@
 		return connection;
 	}
 
-	/* A request with an id. */
-	std::unique_ptr<Connection> ask(const std::string &id,
-					const std::string &fields = "",
-					const std::string &body = "") const
+	/* Sends a request with an id. */
+	std::unique_ptr<Connection> request(const std::string &id,
+					    const std::string &fields = "",
+					    const std::string &body = "") const
 	{
 		return send("POST /a",
 			    "X-Siskinlink-Request-Id: " + id + "\r\n" + fields,
 			    body);
 	}
 
-	/* The whole answer, up to the connection's end. */
-	static std::string whole(std::unique_ptr<Connection> connection)
+	/* Reads the complete answer, until the connection is closed. */
+	static std::string read_answer(std::unique_ptr<Connection> connection)
 	{
 		EXPECT_TRUE(connection->wait_closed());
 		return connection->input;
 	}
 
-	void mode(const std::string &json) const
+	void set_mode(const std::string &json) const
 	{
-		std::string answer = whole(send("POST /fake/mode", "", json));
+		std::string answer =
+			read_answer(send("POST /fake/mode", "", json));
 
 		EXPECT_EQ(0u, answer.find("HTTP/1.1 200")) << answer;
 	}
 
-	/* Event, request and whether it is from a copy, a line each. */
+	/* The journal as lines of event, request and from_copy. */
 	std::string events() const
 	{
 		g_autofree char *text = nullptr;
@@ -120,7 +121,7 @@
 		return events;
 	}
 
-	bool wait_events(const std::string &expected) const
+	bool wait_for_events(const std::string &expected) const
 	{
 		return run_until([&] { return events() == expected; });
 	}
@@ -136,11 +137,11 @@
 
 	void SetUp() override
 	{
-		g_autofree char *made =
+		g_autofree char *path =
 			g_dir_make_tmp("siskinlink.XXXXXX", nullptr);
 
-		ASSERT_NE(nullptr, made);
-		folder = made;
+		ASSERT_NE(nullptr, path);
+		folder = path;
 	}
 
 	void TearDown() override
@@ -155,15 +156,16 @@
 	}
 };
 
-bool has(const std::string &text, const std::string &part)
+bool contains(const std::string &text, const std::string &part)
 {
 	return text.find(part) != std::string::npos;
 }
 
-/* Whether an engine's state has the field at the value. */
-bool state_is(const Backend &backend, const std::string &field)
+/* Whether an engine's GET /fake/state contains the text. */
+bool state_contains(const Backend &backend, const std::string &field)
 {
-	return has(Backend::whole(backend.send("GET /fake/state")), field);
+	return contains(Backend::read_answer(backend.send("GET /fake/state")),
+			field);
 }
 
 TEST_F(FakeBackend, KeepsItsJournalWhenItIsKilled)
@@ -171,28 +173,30 @@
 	Backend plain(folder, "i-1", "--plain");
 	std::unique_ptr<Connection> caller;
 
-	EXPECT_TRUE(has(Backend::whole(plain.ask("r-1")), "i-1 r-1 /a"));
-	plain.mode("{\"answer_delay_ms\": 600000}");
-	caller = plain.ask("r-2");
-	EXPECT_TRUE(plain.wait_events("arrival r-1 0\nrun r-1 0\nend r-1 0\n"
+	EXPECT_TRUE(contains(Backend::read_answer(plain.request("r-1")),
+			     "i-1 r-1 /a"));
+	plain.set_mode("{\"answer_delay_ms\": 600000}");
+	caller = plain.request("r-2");
+	EXPECT_TRUE(
+		plain.wait_for_events("arrival r-1 0\nrun r-1 0\nend r-1 0\n"
 				      "arrival r-2 0\nrun r-2 0\n"));
-	plain.kill_it();
+	plain.force_exit();
 	EXPECT_EQ("arrival r-1 0\nrun r-1 0\nend r-1 0\n"
 		  "arrival r-2 0\nrun r-2 0\n",
 		  plain.events());
 }
 
-TEST_F(FakeBackend, HearsOfACallerThatLeavesBeforeTheAnswer)
+TEST_F(FakeBackend, JournalsADisconnectBeforeTheAnswer)
 {
 	Backend plain(folder, "i-1", "--plain");
 	std::unique_ptr<Connection> caller;
 
-	plain.mode("{\"answer_delay_ms\": 600000}");
-	caller = plain.ask("r-1");
-	EXPECT_TRUE(plain.wait_events("arrival r-1 0\nrun r-1 0\n"));
+	plain.set_mode("{\"answer_delay_ms\": 600000}");
+	caller = plain.request("r-1");
+	EXPECT_TRUE(plain.wait_for_events("arrival r-1 0\nrun r-1 0\n"));
 	caller->close();
-	EXPECT_TRUE(
-		plain.wait_events("arrival r-1 0\nrun r-1 0\nleft r-1 0\n"));
+	EXPECT_TRUE(plain.wait_for_events(
+		"arrival r-1 0\nrun r-1 0\nleft r-1 0\n"));
 }
 
 TEST_F(FakeBackend, CrashesInTheMiddleOfARun)
@@ -200,11 +204,11 @@
 	Backend engine(folder, "i-1");
 	std::string answer;
 
-	engine.mode("{\"pace_ms\": 2, \"crash_after_events\": 3}");
-	answer = Backend::whole(engine.ask("r-1"));
-	EXPECT_TRUE(has(answer, "r-1.2")) << answer;
-	EXPECT_FALSE(has(answer, "r-1.3")) << answer;
-	EXPECT_EQ(3, engine.wait_end());
+	engine.set_mode("{\"pace_ms\": 2, \"crash_after_events\": 3}");
+	answer = Backend::read_answer(engine.request("r-1"));
+	EXPECT_TRUE(contains(answer, "r-1.2")) << answer;
+	EXPECT_FALSE(contains(answer, "r-1.3")) << answer;
+	EXPECT_EQ(3, engine.wait_exit());
 	EXPECT_EQ("arrival r-1 0\nrun r-1 0\n", engine.events());
 }
 
@@ -212,63 +216,64 @@
 {
 	Backend plain(folder, "i-1", "--plain");
 
-	plain.mode("{\"crash_before_answer\": true}");
-	EXPECT_EQ("", Backend::whole(plain.ask("r-1")));
-	EXPECT_EQ(3, plain.wait_end());
+	plain.set_mode("{\"crash_before_answer\": true}");
+	EXPECT_EQ("", Backend::read_answer(plain.request("r-1")));
+	EXPECT_EQ(3, plain.wait_exit());
 	EXPECT_EQ("arrival r-1 0\nrun r-1 0\nend r-1 0\n", plain.events());
 }
 
-TEST_F(FakeBackend, CrashesOnARequestThatCrashesEngines)
+TEST_F(FakeBackend, CrashesOnAPoisonRequest)
 {
 	Backend engine(folder, "i-1");
 
-	EXPECT_EQ("", Backend::whole(
-			      engine.ask("r-1", "", "text [[poison]] text")));
-	EXPECT_EQ(3, engine.wait_end());
+	EXPECT_EQ("", Backend::read_answer(engine.request(
+			      "r-1", "", "text [[poison]] text")));
+	EXPECT_EQ(3, engine.wait_exit());
 	EXPECT_EQ("arrival r-1 0\nrun r-1 0\n", engine.events());
 }
 
-TEST_F(FakeBackend, ShedsWithoutTheWordThatItDidNotRun)
+TEST_F(FakeBackend, ShedsWithoutTheNotExecutedField)
 {
 	Backend plain(folder, "i-1", "--plain");
 	std::string answer;
 
-	plain.mode("{\"shed_silently\": true}");
-	answer = Backend::whole(plain.ask("r-1"));
+	plain.set_mode("{\"shed_silently\": true}");
+	answer = Backend::read_answer(plain.request("r-1"));
 	EXPECT_EQ(0u, answer.find("HTTP/1.1 503")) << answer;
-	EXPECT_FALSE(has(answer, "Not-Executed")) << answer;
+	EXPECT_FALSE(contains(answer, "Not-Executed")) << answer;
 	EXPECT_EQ("arrival r-1 0\nrefusal r-1 0\n", plain.events());
 }
 
-/* A request that fails at one engine fails at another one as well. */
-TEST_F(FakeBackend, FailsAShareOfTheRequests)
+/* A request that fails at one engine also fails at every other engine. */
+TEST_F(FakeBackend, FailsTheSameRequestsAtEachEngine)
 {
 	Backend one(folder, "i-1", "--plain");
 	Backend other(folder, "i-2", "--plain");
 	int failed = 0;
 
-	one.mode("{\"error_percent\": 50}");
-	other.mode("{\"error_percent\": 50}");
+	one.set_mode("{\"error_percent\": 50}");
+	other.set_mode("{\"error_percent\": 50}");
 	for (int i = 0; i < 40; i++) {
 		std::string id = "r-" + std::to_string(i);
-		std::string answer = Backend::whole(one.ask(id));
+		std::string answer = Backend::read_answer(one.request(id));
 
 		failed += answer.find("HTTP/1.1 500") == 0;
-		EXPECT_EQ(answer.substr(0, 12),
-			  Backend::whole(other.ask(id)).substr(0, 12));
+		EXPECT_EQ(
+			answer.substr(0, 12),
+			Backend::read_answer(other.request(id)).substr(0, 12));
 	}
 	EXPECT_GT(failed, 0);
 	EXPECT_LT(failed, 40);
 }
 
-TEST_F(FakeBackend, TakesRequestsInAndAnswersNone)
+TEST_F(FakeBackend, AnswersNoRequestWhileMute)
 {
 	Backend plain(folder, "i-1", "--plain");
 	std::unique_ptr<Connection> caller;
 
-	plain.mode("{\"mute\": true}");
-	caller = plain.ask("r-1");
-	EXPECT_TRUE(plain.wait_events("arrival r-1 0\n"));
+	plain.set_mode("{\"mute\": true}");
+	caller = plain.request("r-1");
+	EXPECT_TRUE(plain.wait_for_events("arrival r-1 0\n"));
 	run_idle();
 	caller->read();
 	EXPECT_EQ("", caller->input);
@@ -276,10 +281,11 @@
 }
 
 /*
- * The run's memory is copied while it grows. The other engine goes on from the
- * copy once; before it came, and a second time, it has none and runs nothing.
+ * A run's memory is copied to a backup while it grows. The other engine can
+ * continue from the copy once; before the copy has arrived and after it was
+ * used, it refuses the request and runs nothing.
  */
-TEST_F(FakeBackend, GoesOnFromACopyThatItWasSent)
+TEST_F(FakeBackend, ContinuesFromACopyOnce)
 {
 	Backend one(folder, "i-1");
 	Backend other(folder, "i-2");
@@ -288,20 +294,23 @@
 	std::unique_ptr<Connection> caller;
 	std::string answer;
 
-	one.mode("{\"real_copies\": true, \"events\": 100000}");
-	other.mode("{\"real_copies\": true, \"events\": 4, \"pace_ms\": 2}");
-	answer = Backend::whole(other.ask("r-1", from));
+	one.set_mode("{\"real_copies\": true, \"events\": 100000}");
+	other.set_mode(
+		"{\"real_copies\": true, \"events\": 4, \"pace_ms\": 2}");
+	answer = Backend::read_answer(other.request("r-1", from));
 	EXPECT_EQ(0u, answer.find("HTTP/1.1 503")) << answer;
-	EXPECT_TRUE(has(answer, "X-Siskinlink-Not-Executed")) << answer;
-	caller = one.ask("r-1",
-			 "X-Siskinlink-Kv-Backup: " + other.address + "\r\n");
+	EXPECT_TRUE(contains(answer, "X-Siskinlink-Not-Executed")) << answer;
+	caller = one.request("r-1", "X-Siskinlink-Kv-Backup: " + other.address +
+					    "\r\n");
 	EXPECT_TRUE(caller->wait_for("r-1.1\""));
-	EXPECT_TRUE(run_until([&] { return state_is(other, "\"copies\":1"); }));
-	one.kill_it();
-	answer = Backend::whole(other.ask("r-1", from));
-	EXPECT_FALSE(has(answer, "r-1.1\"")) << answer;
-	EXPECT_TRUE(has(answer, "r-1.2\"") && has(answer, "r-1.3\"")) << answer;
-	answer = Backend::whole(other.ask("r-1", from));
+	EXPECT_TRUE(run_until(
+		[&] { return state_contains(other, "\"copies\":1"); }));
+	one.force_exit();
+	answer = Backend::read_answer(other.request("r-1", from));
+	EXPECT_FALSE(contains(answer, "r-1.1\"")) << answer;
+	EXPECT_TRUE(contains(answer, "r-1.2\"") && contains(answer, "r-1.3\""))
+		<< answer;
+	answer = Backend::read_answer(other.request("r-1", from));
 	EXPECT_EQ(0u, answer.find("HTTP/1.1 503")) << answer;
 	EXPECT_EQ("arrival r-1 1\nrefusal r-1 1\n"
 		  "arrival r-1 1\ngo_on r-1 1\nend r-1 1\n"
@@ -315,16 +324,18 @@
 	Backend other(folder, "i-2");
 	std::unique_ptr<Connection> caller;
 
-	one.mode("{\"real_copies\": true, \"events\": 100000}");
-	caller = one.ask("r-1",
-			 "X-Siskinlink-Kv-Backup: " + other.address + "\r\n");
-	EXPECT_TRUE(run_until([&] { return state_is(other, "\"copies\":1"); }));
-	one.mode("{\"events\": 1}");
+	one.set_mode("{\"real_copies\": true, \"events\": 100000}");
+	caller = one.request("r-1", "X-Siskinlink-Kv-Backup: " + other.address +
+					    "\r\n");
+	EXPECT_TRUE(run_until(
+		[&] { return state_contains(other, "\"copies\":1"); }));
+	one.set_mode("{\"events\": 1}");
 	EXPECT_TRUE(caller->wait_closed());
-	EXPECT_TRUE(run_until([&] { return state_is(other, "\"copies\":0"); }));
+	EXPECT_TRUE(run_until(
+		[&] { return state_contains(other, "\"copies\":0"); }));
 }
 
-TEST_F(FakeBackend, MovesARunThatItHas)
+TEST_F(FakeBackend, CopiesOnlyItsOwnRunsOnAMove)
 {
 	Backend one(folder, "i-1");
 	Backend other(folder, "i-2");
@@ -332,24 +343,25 @@
 	std::unique_ptr<Connection> caller;
 	std::string answer;
 
-	one.mode("{\"real_copies\": true, \"events\": 100000}");
-	other.mode("{\"real_copies\": true, \"events\": 1, \"pace_ms\": 2}");
-	answer = Backend::whole(
+	one.set_mode("{\"real_copies\": true, \"events\": 100000}");
+	other.set_mode(
+		"{\"real_copies\": true, \"events\": 1, \"pace_ms\": 2}");
+	answer = Backend::read_answer(
 		one.send("POST /v1/kv-move", "", "{\"id\":\"r-1" + target));
 	EXPECT_EQ(0u, answer.find("HTTP/1.1 404")) << answer;
-	caller = one.ask("r-1");
+	caller = one.request("r-1");
 	EXPECT_TRUE(caller->wait_for("r-1.1\""));
-	answer = Backend::whole(
+	answer = Backend::read_answer(
 		one.send("POST /v1/kv-move", "", "{\"id\":\"r-1" + target));
-	EXPECT_TRUE(has(answer, "\"handle\":\"i-1-h2\"")) << answer;
-	answer = Backend::whole(
-		other.ask("r-2", "Kv-From: " + one.address + "/i-1-h2\r\n"));
+	EXPECT_TRUE(contains(answer, "\"handle\":\"i-1-h2\"")) << answer;
+	answer = Backend::read_answer(other.request(
+		"r-2", "Kv-From: " + one.address + "/i-1-h2\r\n"));
 	EXPECT_EQ(0u, answer.find("HTTP/1.1 503")) << answer;
-	answer = Backend::whole(
-		other.ask("r-1", "Kv-From: " + one.address + "/i-1-h2\r\n"));
+	answer = Backend::read_answer(other.request(
+		"r-1", "Kv-From: " + one.address + "/i-1-h2\r\n"));
 	EXPECT_EQ(0u, answer.find("HTTP/1.1 200")) << answer;
-	other.kill_it();
-	answer = Backend::whole(
+	other.force_exit();
+	answer = Backend::read_answer(
 		one.send("POST /v1/kv-move", "", "{\"id\":\"r-1" + target));
 	EXPECT_EQ(0u, answer.find("HTTP/1.1 503")) << answer;
 }
@@ -360,30 +372,30 @@
 	std::unique_ptr<Connection> caller;
 	std::string report;
 
-	engine.mode("{\"events\": 100000}");
-	caller = engine.ask("r-1");
+	engine.set_mode("{\"events\": 100000}");
+	caller = engine.request("r-1");
 	EXPECT_TRUE(caller->wait_for("r-1.1\""));
-	report = Backend::whole(engine.send("GET /v1/report"));
-	EXPECT_TRUE(has(report, "\"state\":\"ready\"")) << report;
-	EXPECT_TRUE(has(report, "\"running\":1")) << report;
-	EXPECT_TRUE(has(report, "\"runs\":[[\"r-1\",")) << report;
-	EXPECT_FALSE(has(report, "leaves_ms")) << report;
-	engine.mode("{\"leave_ms\": 600000}");
-	report = Backend::whole(engine.send("GET /v1/report"));
-	EXPECT_TRUE(has(report, "\"state\":\"draining\"")) << report;
-	EXPECT_TRUE(has(report, "\"leaves_ms\":")) << report;
+	report = Backend::read_answer(engine.send("GET /v1/report"));
+	EXPECT_TRUE(contains(report, "\"state\":\"ready\"")) << report;
+	EXPECT_TRUE(contains(report, "\"running\":1")) << report;
+	EXPECT_TRUE(contains(report, "\"runs\":[[\"r-1\",")) << report;
+	EXPECT_FALSE(contains(report, "leaves_ms")) << report;
+	engine.set_mode("{\"leave_ms\": 600000}");
+	report = Backend::read_answer(engine.send("GET /v1/report"));
+	EXPECT_TRUE(contains(report, "\"state\":\"draining\"")) << report;
+	EXPECT_TRUE(contains(report, "\"leaves_ms\":")) << report;
 }
 
-TEST_F(FakeBackend, EndsWhenItHasLeft)
+TEST_F(FakeBackend, ExitsAtItsLeaveTime)
 {
 	Backend engine(folder, "i-1");
 	std::unique_ptr<Connection> caller;
 
-	engine.mode("{\"events\": 100000}");
-	caller = engine.ask("r-1");
+	engine.set_mode("{\"events\": 100000}");
+	caller = engine.request("r-1");
 	EXPECT_TRUE(caller->wait_for("r-1.1\""));
-	engine.mode("{\"leave_ms\": 20}");
-	EXPECT_EQ(0, engine.wait_end());
+	engine.set_mode("{\"leave_ms\": 20}");
+	EXPECT_EQ(0, engine.wait_exit());
 	EXPECT_TRUE(caller->wait_closed());
 }
 
