--- a/adapters/kv_client.c
+++ b/adapters/kv_client.c
@@ -9,18 +9,18 @@
 
 enum {
 	MAX_CONNECTIONS = 64,
-	ENVELOPE_BYTES = 64 * 1024,
-	DEFAULT_CHECK_MS = 10000
+	MAX_ENVELOPE_BYTES = 64 * 1024,
+	DEFAULT_RESYNC_MS = 10000
 };
 
 struct kv_client {
 	SoupSession *session;
 	char *address;
 	size_t max_value_bytes;
-	int64_t watch_check_ms;
+	int64_t watch_resync_ms;
 	uint64_t seed;
 	struct log *log;
-	bool failing; /* logged already */
+	bool failing; /* the outage is in the log already */
 	struct counters *counters;
 	struct event_sink sink;
 	GHashTable *calls;  /* struct kv_call, a set */
@@ -29,7 +29,7 @@
 
 struct kv_call {
 	struct kv_client *client;
-	struct kv_request request; /* without key and value */
+	struct kv_request request; /* key and value are NULL */
 	struct bounded_request *http;
 };
 
@@ -41,11 +41,13 @@
 	g_free(call);
 }
 
-/* An entry in base64 takes 4/3 of its bytes; a list may hold many small ones.
+/*
+ * Base64 takes 4/3 of the bytes of a value, and a list may hold many small
+ * entries.
  */
 static size_t max_answer_bytes(const struct kv_client *client)
 {
-	return 2 * client->max_value_bytes + ENVELOPE_BYTES;
+	return 2 * client->max_value_bytes + MAX_ENVELOPE_BYTES;
 }
 
 static bool op_writes(enum kv_op op)
@@ -59,15 +61,16 @@
 }
 
 /*
- * What a failed call means. Wrongly taking a write for not applied would let
- * its caller write again or report a refusal for a change that is in force, so
- * KV_NOT_APPLIED is said only where the write cannot have reached the log:
- * no request was started on a connection, or the gateway answered that it is
- * malformed (400), not allowed (401, 403) or that the service takes no more
- * proposals (429, sent before one is made). A 404 names a lease that is gone,
- * which the service checks before it writes. All else, such as 503 and 504,
+ * Maps a failed call to its outcome. If an applied write were taken for not
+ * applied, its caller could write again or answer that a change in force was
+ * refused. KV_NOT_APPLIED is therefore returned only where the write cannot
+ * have reached the log of the service: no request was started on a connection,
+ * or the gateway answered that the request is malformed (400) or not allowed
+ * (401, 403), or that the service accepts no more proposals (429, sent before
+ * a proposal is made). A 404 means that the lease does not exist, which the
+ * service checks before it writes. Every other status, such as 503 and 504,
  * may come after the proposal was made. A read of an earlier revision is
- * answered by 400 where that is not kept any more.
+ * answered by 400 if that revision has been compacted.
  */
 static enum kv_outcome
 kv_outcome_of_failure(const struct kv_request *request,
@@ -89,7 +92,7 @@
 	}
 }
 
-/* A long outage is one line in the log, not one for each call. */
+/* Logs the first failure of an outage only, not one line for each call. */
 static void kv_client_log_failure(struct kv_client *client,
 				  const struct error *error)
 {
@@ -107,9 +110,10 @@
 	client->failing = false;
 }
 
-static void kv_call_read_failure(struct kv_call *call,
-				 const struct bounded_result *result,
-				 struct error *error, struct kv_answer *answer)
+static void kv_call_set_failed_answer(struct kv_call *call,
+				      const struct bounded_result *result,
+				      struct error *error,
+				      struct kv_answer *answer)
 {
 	struct kv_client *client = call->client;
 
@@ -138,7 +142,7 @@
 	if (result->status != SOUP_STATUS_OK ||
 	    !etcd_json_parse_answer(&call->request, result->body,
 				    max_answer_bytes(client), &answer, &error))
-		kv_call_read_failure(call, result, &error, &answer);
+		kv_call_set_failed_answer(call, result, &error, &answer);
 	else
 		kv_client_log_success(client);
 	g_hash_table_remove(client->calls, call);
@@ -184,7 +188,7 @@
 		.address = client->address,
 		.key = key,
 		.max_answer_bytes = max_answer_bytes(client),
-		.check_ms = client->watch_check_ms,
+		.resync_ms = client->watch_resync_ms,
 		.seed = client->seed + client->watches->len,
 		.log = client->log,
 		.counters = client->counters,
@@ -199,7 +203,10 @@
 			kv_watch_create(&options, &client->sink));
 }
 
-/* A client that has not connected yet; options and sink are copied. */
+/*
+ * Creates a client, which connects with its first call. Options and sink are
+ * copied; the log and the counters must outlive the client.
+ */
 struct kv_client *kv_client_create(const struct kv_client_options *options,
 				   const struct event_sink *sink)
 {
@@ -210,9 +217,9 @@
 		MAX_CONNECTIONS, NULL);
 	client->address = g_strdup(options->address);
 	client->max_value_bytes = (size_t)options->max_value_bytes;
-	client->watch_check_ms = options->watch_check_ms
-					 ? options->watch_check_ms
-					 : DEFAULT_CHECK_MS;
+	client->watch_resync_ms = options->watch_resync_ms
+					  ? options->watch_resync_ms
+					  : DEFAULT_RESYNC_MS;
 	client->seed = options->seed;
 	client->log = options->log;
 	client->counters = options->counters;
@@ -224,7 +231,10 @@
 	return client;
 }
 
-/* Gives up all calls and watches without delivering them; NULL is allowed. */
+/*
+ * Cancels all calls and watches without delivering an event, and frees the
+ * client. NULL is allowed.
+ */
 void kv_client_destroy(struct kv_client *client)
 {
 	if (!client)
@@ -237,7 +247,7 @@
 	g_free(client);
 }
 
-/* Carries out ACTION_KV and ACTION_KV_WATCH; other types are not for it. */
+/* Executes ACTION_KV and ACTION_KV_WATCH; ignores actions of other types. */
 void kv_client_apply(struct kv_client *client, const struct action *action)
 {
 	switch (action->type) {
--- a/adapters/kv_client.h
+++ b/adapters/kv_client.h
@@ -13,16 +13,17 @@
 G_BEGIN_DECLS
 
 /*
- * The platform's key-value service by its JSON gateway (etcd v3). Carries
- * ACTION_KV and ACTION_KV_WATCH out; delivers EVENT_KV exactly once for each
- * ACTION_KV, and EVENT_KV_WATCH for each state of a watched key it learns. A
- * broken watch is opened again after reading the key, with backoff and jitter.
+ * Client of the platform's key-value service, through its JSON gateway (etcd
+ * v3). Executes ACTION_KV and ACTION_KV_WATCH. Delivers EVENT_KV exactly once
+ * for each ACTION_KV, and EVENT_KV_WATCH for each new state of a watched key.
+ * After a watch has broken, the client reads the key and opens the watch
+ * again, with backoff and jitter.
  */
 struct kv_client_options {
 	const char *address;
 	int64_t max_value_bytes;
-	int64_t watch_check_ms; /* a watched key is read so often; 0: 10 s */
-	uint64_t seed;		/* jitter */
+	int64_t watch_resync_ms; /* between reads of a watched key; 0: 10 s */
+	uint64_t seed;		 /* of the jitter */
 	struct log *log;
 	struct counters *counters; /* of watches; the core counts its calls */
 };
--- a/adapters/kv_watch.c
+++ b/adapters/kv_watch.c
@@ -7,20 +7,23 @@
 #include <string.h>
 
 enum {
-	READ_BYTES = 64 * 1024,
+	READ_CHUNK_BYTES = 64 * 1024,
 	READ_TIMEOUT_US = 2 * G_USEC_PER_SEC,
 	OPEN_TIMEOUT_MS = 5000,
-	FIRST_BACKOFF_MS = 100,
-	LAST_BACKOFF_MS = 2000,
-	MAX_FAILURES = 5
+	INITIAL_BACKOFF_MS = 100,
+	MAX_BACKOFF_MS = 2000,
+	MAX_BACKOFF_DOUBLINGS = 5
 };
 
-/* A stream outlives its watch until the library lets go of it. */
+/*
+ * The answer of one watch request. It outlives its watch until its pending
+ * asynchronous call has returned.
+ */
 struct kv_stream {
-	struct kv_watch *watch; /* NULL: nobody listens any more */
+	struct kv_watch *watch; /* NULL after cancellation */
 	GCancellable *cancellable;
 	GInputStream *input;
-	GByteArray *line;
+	GByteArray *buffer; /* received, not yet parsed */
 };
 
 struct kv_watch {
@@ -28,7 +31,7 @@
 	char *address;
 	char *key;
 	size_t max_answer_bytes;
-	int64_t check_ms;
+	int64_t resync_ms;
 	GRand *rand;
 	struct log *log;
 	struct counters *counters;
@@ -36,10 +39,10 @@
 
 	struct bounded_request *read;
 	struct kv_stream *stream;
-	GSource *retry;
-	GSource *check;
+	GSource *retry_timer;
+	GSource *resync_timer;
 	GSource *open_timer;
-	int failures; /* in a row, without a change or a check in between */
+	int failures; /* since the last change or resync, bounded */
 	bool delivered;
 	bool delivered_absent;
 	int64_t delivered_revision;
@@ -47,7 +50,7 @@
 
 static void kv_watch_read(struct kv_watch *watch);
 
-static void count(struct kv_watch *watch, enum counter id)
+static void increment_counter(struct kv_watch *watch, enum counter id)
 {
 	if (watch->counters)
 		counters_add(watch->counters, id, 1);
@@ -72,10 +75,10 @@
 }
 
 /*
- * Delivers a state unless it is known or older than what was delivered. A read
- * can be answered by a replica that lags, a stream opened again repeats what
- * it sent, and a service restored from a copy starts again from an earlier
- * revision: each would show as an accepted configuration that reverts.
+ * Delivers a state unless it, or a newer one, was delivered before. A lagging
+ * replica can answer a read, a reopened stream repeats changes, and a service
+ * restored from a backup restarts from an earlier revision. In each case an
+ * accepted configuration would appear to revert.
  */
 static void kv_watch_deliver(struct kv_watch *watch, int64_t revision,
 			     GBytes *value)
@@ -99,11 +102,11 @@
 {
 	g_clear_object(&stream->cancellable);
 	g_clear_object(&stream->input);
-	g_byte_array_unref(stream->line);
+	g_byte_array_unref(stream->buffer);
 	g_free(stream);
 }
 
-static void kv_watch_drop_stream(struct kv_watch *watch)
+static void kv_watch_cancel_stream(struct kv_watch *watch)
 {
 	clear_source(&watch->open_timer);
 	if (!watch->stream)
@@ -117,38 +120,39 @@
 {
 	struct kv_watch *watch = data;
 
-	clear_source(&watch->retry);
+	clear_source(&watch->retry_timer);
 	kv_watch_read(watch);
 	return G_SOURCE_REMOVE;
 }
 
 /*
- * Starts over after a while: twice as long after each failure, up to 2 s, and
- * a random part of it, because all nodes lose the service at the same moment
- * and must not come back to it in step.
+ * Schedules a retry, which reads the key and opens the watch again. The limit
+ * of the delay doubles with each failure up to 2 s, and the delay is a random
+ * value between half the limit and the limit: all nodes lose the service at
+ * the same moment and must not reconnect simultaneously.
  */
 static void kv_watch_back_off(struct kv_watch *watch, const struct error *error)
 {
 	int64_t limit_ms =
-		MIN(FIRST_BACKOFF_MS << watch->failures, LAST_BACKOFF_MS);
+		MIN(INITIAL_BACKOFF_MS << watch->failures, MAX_BACKOFF_MS);
 
 	if (watch->log && watch->failures == 0)
 		log_write_error(watch->log, LOG_LEVEL_WARN, "kv_watch_broken",
 				error);
-	count(watch, COUNTER_KV_FAILED);
-	watch->failures = MIN(watch->failures + 1, MAX_FAILURES);
-	kv_watch_drop_stream(watch);
-	clear_source(&watch->retry);
-	watch->retry = start_timer(watch,
-				   g_rand_int_range(watch->rand,
-						    (gint32)(limit_ms / 2),
-						    (gint32)limit_ms + 1),
-				   on_retry);
+	increment_counter(watch, COUNTER_KV_FAILED);
+	watch->failures = MIN(watch->failures + 1, MAX_BACKOFF_DOUBLINGS);
+	kv_watch_cancel_stream(watch);
+	clear_source(&watch->retry_timer);
+	watch->retry_timer = start_timer(
+		watch,
+		g_rand_int_range(watch->rand, (gint32)(limit_ms / 2),
+				 (gint32)limit_ms + 1),
+		on_retry);
 }
 
-/* Delivers the changes of one line; false: the stream is of no more use. */
-static bool kv_stream_take_line(struct kv_stream *stream, GBytes *line,
-				struct error *error)
+/* Delivers the changes of one line; false if the stream must be closed. */
+static bool kv_stream_process_line(struct kv_stream *stream, GBytes *line,
+				   struct error *error)
 {
 	size_t max_bytes = stream->watch->max_answer_bytes;
 	struct etcd_watch_message message;
@@ -175,34 +179,36 @@
 	return !canceled;
 }
 
-/* Takes whole lines out of what came; the rest waits for more. */
-static bool kv_stream_take_lines(struct kv_stream *stream, struct error *error)
+/* Processes the complete lines of the buffer; a partial one stays in it. */
+static bool kv_stream_process_lines(struct kv_stream *stream,
+				    struct error *error)
 {
 	guint8 *end;
 
-	while (stream->watch && stream->line->len &&
-	       (end = memchr(stream->line->data, '\n', stream->line->len))) {
-		guint size = (guint)(end - stream->line->data);
-		GBytes *line = g_bytes_new(stream->line->data, size);
+	while (stream->watch && stream->buffer->len &&
+	       (end = memchr(stream->buffer->data, '\n',
+			     stream->buffer->len))) {
+		guint size = (guint)(end - stream->buffer->data);
+		GBytes *line = g_bytes_new(stream->buffer->data, size);
 		bool ok;
 
-		g_byte_array_remove_range(stream->line, 0, size + 1);
-		ok = size == 0 || kv_stream_take_line(stream, line, error);
+		g_byte_array_remove_range(stream->buffer, 0, size + 1);
+		ok = size == 0 || kv_stream_process_line(stream, line, error);
 		g_bytes_unref(line);
 		if (!ok)
 			return false;
 	}
 	if (stream->watch &&
-	    stream->line->len > stream->watch->max_answer_bytes) {
+	    stream->buffer->len > stream->watch->max_answer_bytes) {
 		error_set(error, ERROR_TOO_LARGE, "kv.watch",
-			  stream->watch->address, "a line over %zu bytes",
+			  stream->watch->address, "line exceeds %zu bytes",
 			  stream->watch->max_answer_bytes);
 		return false;
 	}
 	return true;
 }
 
-/* Ends a stream whose last asynchronous call has returned. */
+/* Frees a stream whose last asynchronous call has returned. */
 static void kv_stream_end(struct kv_stream *stream, const struct error *error)
 {
 	struct kv_watch *watch = stream->watch;
@@ -228,9 +234,10 @@
 		  stream->watch ? stream->watch->address : "",
 		  "the stream ended");
 	if (ok && stream->watch) {
-		g_byte_array_append(stream->line, g_bytes_get_data(bytes, NULL),
+		g_byte_array_append(stream->buffer,
+				    g_bytes_get_data(bytes, NULL),
 				    (guint)g_bytes_get_size(bytes));
-		ok = kv_stream_take_lines(stream, &error);
+		ok = kv_stream_process_lines(stream, &error);
 	}
 	g_clear_pointer(&bytes, g_bytes_unref);
 	if (ok && stream->watch)
@@ -241,7 +248,7 @@
 
 static void kv_stream_read(struct kv_stream *stream)
 {
-	g_input_stream_read_bytes_async(stream->input, READ_BYTES,
+	g_input_stream_read_bytes_async(stream->input, READ_CHUNK_BYTES,
 					G_PRIORITY_DEFAULT, stream->cancellable,
 					on_stream_read, stream);
 }
@@ -290,10 +297,10 @@
 					    .fresh_connection = true};
 	SoupMessage *message = bounded_request_create_message(&spec);
 
-	count(watch, COUNTER_KV_CALLS);
+	increment_counter(watch, COUNTER_KV_CALLS);
 	stream->watch = watch;
 	stream->cancellable = g_cancellable_new();
-	stream->line = g_byte_array_new();
+	stream->buffer = g_byte_array_new();
 	watch->stream = stream;
 	watch->open_timer =
 		start_timer(watch, OPEN_TIMEOUT_MS, on_open_timeout);
@@ -305,25 +312,27 @@
 }
 
 /*
- * A state that the open stream has not shown means that it is late or stalled
- * without having closed; it is replaced.
+ * Delivers the state that was read, and opens a stream if none is open. If the
+ * state is new although a stream is open, that stream is late or has stalled
+ * without closing, and a new one replaces it.
  */
-static void kv_watch_learn(struct kv_watch *watch,
-			   const struct kv_answer *answer)
+static void kv_watch_apply_read(struct kv_watch *watch,
+				const struct kv_answer *answer)
 {
 	const struct kv_entry *entry =
 		answer->entries->len ? g_ptr_array_index(answer->entries, 0)
 				     : NULL;
-	int64_t known = watch->delivered ? watch->delivered_revision : -1;
+	int64_t previous_revision =
+		watch->delivered ? watch->delivered_revision : -1;
 	int64_t revision = answer->revision;
 
 	if (entry)
 		kv_watch_deliver(watch, entry->mod_revision, entry->value);
 	else
 		kv_watch_deliver(watch, revision, NULL);
-	if (watch->stream && watch->delivered_revision == known)
+	if (watch->stream && watch->delivered_revision == previous_revision)
 		return;
-	kv_watch_drop_stream(watch);
+	kv_watch_cancel_stream(watch);
 	kv_watch_open(watch, revision + 1);
 }
 
@@ -342,7 +351,7 @@
 	} else if (etcd_json_parse_answer(&request, result->body,
 					  watch->max_answer_bytes, &answer,
 					  &error)) {
-		kv_watch_learn(watch, &answer);
+		kv_watch_apply_read(watch, &answer);
 		kv_answer_clear(&answer);
 		return;
 	}
@@ -367,27 +376,27 @@
 		.peer = watch->address,
 	};
 
-	count(watch, COUNTER_KV_CALLS);
+	increment_counter(watch, COUNTER_KV_CALLS);
 	watch->read = bounded_request_start(watch->session, &spec,
 					    on_watch_read, watch);
 	g_bytes_unref(body);
 	g_free(url);
 }
 
-static void kv_watch_schedule_check(struct kv_watch *watch);
+static void kv_watch_schedule_resync(struct kv_watch *watch);
 
 /*
- * A link can stall without closing, and a watch on it looks like one of a key
- * that does not change: the node would keep an old configuration for ever. A
- * read now and then finds the difference. At the default of 10 s this is a
- * tenth of a read per second and watching node, so 3 reads a second for the 30
- * watchers of 10 regions, or 48 if all of 480 nodes watched.
+ * Reads the watched key periodically. A connection can stall without closing,
+ * and its watch then looks like one of a key that does not change: the node
+ * would keep an old configuration for ever. At the default interval of 10 s,
+ * each watching node reads a tenth of a time per second, which is 3 reads per
+ * second for the 30 watchers of 10 regions, or 48 if all of 480 nodes watched.
  */
-static gboolean on_check(gpointer data)
+static gboolean on_resync(gpointer data)
 {
 	struct kv_watch *watch = data;
 
-	kv_watch_schedule_check(watch);
+	kv_watch_schedule_resync(watch);
 	if (watch->stream && !watch->read) {
 		watch->failures = 0;
 		kv_watch_read(watch);
@@ -395,16 +404,19 @@
 	return G_SOURCE_REMOVE;
 }
 
-static void kv_watch_schedule_check(struct kv_watch *watch)
+static void kv_watch_schedule_resync(struct kv_watch *watch)
 {
 	double factor = g_rand_double_range(watch->rand, 0.8, 1.2);
 
-	clear_source(&watch->check);
-	watch->check = start_timer(
-		watch, (int64_t)((double)watch->check_ms * factor), on_check);
+	clear_source(&watch->resync_timer);
+	watch->resync_timer = start_timer(
+		watch, (int64_t)((double)watch->resync_ms * factor), on_resync);
 }
 
-/* Starts to watch a key; nothing is delivered from inside this function. */
+/*
+ * Starts watching a key. Options and sink are copied; the log and the counters
+ * must outlive the watch. No event is delivered before this function returns.
+ */
 struct kv_watch *kv_watch_create(const struct kv_watch_options *options,
 				 const struct event_sink *sink)
 {
@@ -414,25 +426,25 @@
 	watch->address = g_strdup(options->address);
 	watch->key = g_strdup(options->key);
 	watch->max_answer_bytes = options->max_answer_bytes;
-	watch->check_ms = options->check_ms;
+	watch->resync_ms = options->resync_ms;
 	watch->rand = g_rand_new_with_seed((guint32)options->seed);
 	watch->log = options->log;
 	watch->counters = options->counters;
 	watch->sink = *sink;
-	kv_watch_schedule_check(watch);
+	kv_watch_schedule_resync(watch);
 	kv_watch_read(watch);
 	return watch;
 }
 
-/* Stops to watch; nothing is delivered any more. NULL is allowed. */
+/* Stops and frees a watch; no event follows. NULL is allowed. */
 void kv_watch_destroy(struct kv_watch *watch)
 {
 	if (!watch)
 		return;
 	bounded_request_cancel(watch->read);
-	kv_watch_drop_stream(watch);
-	clear_source(&watch->retry);
-	clear_source(&watch->check);
+	kv_watch_cancel_stream(watch);
+	clear_source(&watch->retry_timer);
+	clear_source(&watch->resync_timer);
 	g_rand_free(watch->rand);
 	g_object_unref(watch->session);
 	g_free(watch->address);
@@ -440,7 +452,7 @@
 	g_free(watch);
 }
 
-/* The key that is watched. */
+/* Returns the watched key, which the watch owns. */
 const char *kv_watch_key(const struct kv_watch *watch)
 {
 	return watch->key;
--- a/adapters/kv_watch.h
+++ b/adapters/kv_watch.h
@@ -13,17 +13,18 @@
 G_BEGIN_DECLS
 
 /*
- * One watched key: read, then watched from there on, read again whenever the
- * stream breaks and now and then while it stands. What is delivered never goes
- * back to an older revision.
+ * Watch of one key. It reads the key, then opens a stream from the next
+ * revision on. It reads the key again whenever the stream breaks, and
+ * periodically while the stream is open. It never delivers an older revision
+ * after a newer one.
  */
 struct kv_watch_options {
 	SoupSession *session;
 	const char *address;
 	const char *key;
 	size_t max_answer_bytes;
-	int64_t check_ms;
-	uint64_t seed;
+	int64_t resync_ms;	   /* between reads while the stream is open */
+	uint64_t seed;		   /* of the jitter */
 	struct log *log;	   /* may be NULL */
 	struct counters *counters; /* may be NULL */
 };
--- a/adapters/log.c
+++ b/adapters/log.c
@@ -12,12 +12,15 @@
 #define MAX_VALUE_BYTES 512
 #define MAX_LINE_BYTES 4096
 
-/* About 1,500 lines: some minutes of a node, or a second of a bad one. */
-#define MAX_KEPT_BYTES (256 * 1024)
+/*
+ * About 1,500 lines: the output of a healthy node in some minutes, or of a
+ * faulty one in a second.
+ */
+#define MAX_BUFFERED_BYTES (256 * 1024)
 
 struct log {
 	char *node_name;
-	enum log_level least;
+	enum log_level min_level;
 	log4c_category_t *category;
 	log4c_appender_t *appender;
 	log4c_layout_t *layout;
@@ -33,7 +36,7 @@
 	[LOG_LEVEL_ERROR] = {"error", LOG4C_PRIORITY_ERROR},
 };
 
-/* One write for each line, so that lines of two processes do not mix. */
+/* Writes each line in one call, so that lines of two processes do not mix. */
 static int log_append(log4c_appender_t *appender,
 		      const log4c_logging_event_t *event)
 {
@@ -44,7 +47,7 @@
 	return 0;
 }
 
-/* The message is the whole line already. */
+/* Returns the message, which is the complete line already. */
 static const char *log_layout(const log4c_layout_t *layout,
 			      const log4c_logging_event_t *event)
 {
@@ -62,7 +65,7 @@
 	.format = log_layout,
 };
 
-static bool log_is_plain(const char *value)
+static bool log_value_is_plain(const char *value)
 {
 	if (!*value)
 		return false;
@@ -99,16 +102,16 @@
 }
 
 /*
- * A caller's text may hold a newline, a quote or a terminal's control
- * sequence, which would read as further lines or fields. Everything but
- * printable ASCII is escaped inside quotes, so a value can end only where
- * this function ends it.
+ * Appends a value, quoted and escaped where needed. A caller's text may contain
+ * a newline, a quote or a terminal control sequence, which would look like
+ * further lines or fields. Quotes, backslashes and everything but printable
+ * ASCII are escaped, so a value cannot end its own quotes.
  */
 static void log_append_value(GString *line, const char *value)
 {
 	size_t length = strlen(value);
 
-	if (length <= MAX_VALUE_BYTES && log_is_plain(value)) {
+	if (length <= MAX_VALUE_BYTES && log_value_is_plain(value)) {
 		g_string_append(line, value);
 		return;
 	}
@@ -126,18 +129,18 @@
 	if (!*key)
 		g_string_append_c(line, '_');
 	for (const char *p = key; *p && p < key + MAX_VALUE_BYTES; p++) {
-		bool legal = g_ascii_isalnum(*p) || strchr("_.-", *p);
+		bool valid = g_ascii_isalnum(*p) || strchr("_.-", *p);
 
-		g_string_append_c(line, legal ? *p : '_');
+		g_string_append_c(line, valid ? *p : '_');
 	}
 }
 
 /*
- * The event and its fields as key=value pairs, without time, level and node.
- * fields holds char *: key, value, key, value; a last key without a value gets
- * an empty one. A field that would make the line longer than 4,096 bytes is
- * left out with those after it, and "cut=true" says so. The caller frees the
- * line.
+ * Formats an event and its fields as key=value pairs, without time, level and
+ * node. fields alternates keys and values (char *); a last key without a value
+ * gets an empty one. A field that would make the line longer than 4,096 bytes
+ * is omitted with all fields after it, and "cut=true" is appended. The caller
+ * frees the line.
  */
 char *log_format(const char *event, const GPtrArray *fields)
 {
@@ -163,26 +166,26 @@
 }
 
 /*
- * A log that writes lines of at least this level to standard output. log4c
- * would read a file for its settings; everything is set here instead, so no
- * file can redirect a node's log.
+ * Creates a log that writes lines of at least the given level to standard
+ * output. log4c is configured here and not by its configuration file, so that
+ * no file can redirect the log of a node.
  */
-struct log *log_create(const char *node_name, enum log_level least)
+struct log *log_create(const char *node_name, enum log_level min_level)
 {
 	struct log *log = g_new0(struct log, 1);
 
 	log->node_name = g_strdup(node_name);
-	log->least = least;
+	log->min_level = min_level;
 	log->layout = log4c_layout_new("siskinlink");
 	log4c_layout_set_type(log->layout, &layout_type);
 	log->appender = log4c_appender_new("siskinlink");
-	log->output = log_output_create(STDOUT_FILENO, MAX_KEPT_BYTES);
+	log->output = log_output_create(STDOUT_FILENO, MAX_BUFFERED_BYTES);
 	log4c_appender_set_type(log->appender, &appender_type);
 	log4c_appender_set_udata(log->appender, log->output);
 	log4c_appender_set_layout(log->appender, log->layout);
 	log->category = log4c_category_new("siskinlink");
 	log4c_category_set_additivity(log->category, 0);
-	log4c_category_set_priority(log->category, levels[least].priority);
+	log4c_category_set_priority(log->category, levels[min_level].priority);
 	log4c_category_set_appender(log->category, log->appender);
 	return log;
 }
@@ -200,11 +203,11 @@
 	g_free(log);
 }
 
-/* Lines below this level are left out from now on. */
-void log_set_level(struct log *log, enum log_level least)
+/* Sets the minimum level; lines below it are not written. */
+void log_set_level(struct log *log, enum log_level min_level)
 {
-	log->least = least;
-	log4c_category_set_priority(log->category, levels[least].priority);
+	log->min_level = min_level;
+	log4c_category_set_priority(log->category, levels[min_level].priority);
 }
 
 static void log_write_fields(struct log *log, enum log_level level,
@@ -227,30 +230,30 @@
 }
 
 /*
- * Writes one line. The pairs of key and value are strings and end with NULL,
- * so an empty value is "". A NULL log writes nothing.
+ * Writes one line. The arguments are pairs of key and value strings, terminated
+ * by NULL; an empty value is therefore "". A NULL log writes nothing.
  */
 void log_write(struct log *log, enum log_level level, const char *event, ...)
 {
 	GPtrArray *fields;
-	const char *word;
+	const char *text;
 	va_list args;
 
-	if (!log || level < log->least)
+	if (!log || level < log->min_level)
 		return;
 	fields = g_ptr_array_new();
 	va_start(args, event);
-	while ((word = va_arg(args, const char *)))
-		g_ptr_array_add(fields, (gpointer)word);
+	while ((text = va_arg(args, const char *)))
+		g_ptr_array_add(fields, (gpointer)text);
 	va_end(args);
 	log_write_fields(log, level, event, fields);
 	g_ptr_array_unref(fields);
 }
 
-/* Writes the line that the core asked for. A NULL log writes nothing. */
+/* Writes the line of an ACTION_LOG. A NULL log writes nothing. */
 void log_write_action(struct log *log, const struct action_log *action)
 {
-	if (!log || action->level < log->least)
+	if (!log || action->level < log->min_level)
 		return;
 	log_write_fields(log, action->level, action->event, action->fields);
 }
--- a/adapters/log_output.c
+++ b/adapters/log_output.c
@@ -11,17 +11,18 @@
 struct log_output {
 	int fd;
 	size_t max_bytes;
-	GByteArray *kept;
+	GByteArray *buffer;
 	uint64_t dropped;
-	uint64_t dropped_since; /* not yet told */
+	uint64_t dropped_unlogged; /* not yet written as a line */
 	guint source;
-	bool is_waiting_kind; /* a pipe or socket, whose reader may stop */
+	bool is_nonblocking; /* a pipe or socket, whose reader may stop */
 };
 
 /*
- * Writes go to fd, which stays the caller's. Only a pipe or a socket is made
- * not to block: a terminal's setting is shared with the shell that owns it,
- * and a file takes what it gets.
+ * Creates an output that writes to fd, which the caller keeps and closes, and
+ * buffers at most max_bytes. Only a pipe or a socket is set to non-blocking:
+ * the flags of a terminal are shared with the shell that owns it, and a write
+ * to a file does not wait for a reader.
  */
 struct log_output *log_output_create(int fd, size_t max_bytes)
 {
@@ -31,56 +32,56 @@
 
 	output->fd = fd;
 	output->max_bytes = max_bytes;
-	output->kept = g_byte_array_new();
+	output->buffer = g_byte_array_new();
 	if (fstat(fd, &status) == 0 && flags >= 0 &&
 	    (S_ISFIFO(status.st_mode) || S_ISSOCK(status.st_mode)))
-		output->is_waiting_kind =
+		output->is_nonblocking =
 			fcntl(fd, F_SETFL, flags | O_NONBLOCK) == 0;
 	return output;
 }
 
-/* Writes what still can be written and frees; NULL is allowed. */
+/* Tries once to write the buffer, then frees the output. NULL is allowed. */
 void log_output_destroy(struct log_output *output)
 {
 	if (!output)
 		return;
 	if (output->source)
 		g_source_remove(output->source);
-	if (output->kept->len > 0 &&
-	    write(output->fd, output->kept->data, output->kept->len) < 0)
+	if (output->buffer->len > 0 &&
+	    write(output->fd, output->buffer->data, output->buffer->len) < 0)
 		output->dropped++;
-	g_byte_array_unref(output->kept);
+	g_byte_array_unref(output->buffer);
 	g_free(output);
 }
 
-static void output_tell_dropped(struct log_output *output)
+static void output_append_dropped(struct log_output *output)
 {
 	char line[64];
 
-	if (output->dropped_since == 0)
+	if (output->dropped_unlogged == 0)
 		return;
 	g_snprintf(line, sizeof(line),
 		   "event=log_dropped lines=%" G_GUINT64_FORMAT "\n",
-		   output->dropped_since);
-	output->dropped_since = 0;
-	g_byte_array_append(output->kept, (const guint8 *)line,
+		   output->dropped_unlogged);
+	output->dropped_unlogged = 0;
+	g_byte_array_append(output->buffer, (const guint8 *)line,
 			    (guint)strlen(line));
 }
 
-/* True when all that was kept is written. */
+/* Writes the buffer; returns true once it is empty. */
 static bool output_flush(struct log_output *output)
 {
-	while (output->kept->len > 0) {
-		ssize_t size = write(output->fd, output->kept->data,
-				     output->kept->len);
+	while (output->buffer->len > 0) {
+		ssize_t size = write(output->fd, output->buffer->data,
+				     output->buffer->len);
 
 		if (size < 0 && errno == EINTR)
 			continue;
 		if (size <= 0)
 			return false;
-		g_byte_array_remove_range(output->kept, 0, (guint)size);
-		if (output->kept->len == 0)
-			output_tell_dropped(output);
+		g_byte_array_remove_range(output->buffer, 0, (guint)size);
+		if (output->buffer->len == 0)
+			output_append_dropped(output);
 	}
 	return true;
 }
@@ -90,7 +91,7 @@
 	struct log_output *output = data;
 
 	(void)fd;
-	/* Without a reader nothing more can be told to anybody. */
+	/* After an error or a hangup there is no reader left to write to. */
 	if (!(condition & (G_IO_ERR | G_IO_HUP)) && !output_flush(output))
 		return G_SOURCE_CONTINUE;
 	output->source = 0;
@@ -100,15 +101,18 @@
 static void output_drop(struct log_output *output)
 {
 	output->dropped++;
-	output->dropped_since++;
+	output->dropped_unlogged++;
 }
 
-/* Writes one line, or keeps it, or drops and counts it. */
+/*
+ * Writes one line of size bytes. What cannot be written now is buffered; if the
+ * buffer is full, it is dropped and counted.
+ */
 void log_output_write(struct log_output *output, const char *line, size_t size)
 {
 	ssize_t written;
 
-	if (output->kept->len == 0) {
+	if (output->buffer->len == 0) {
 		written = write(output->fd, line, size);
 		if (written == (ssize_t)size)
 			return;
@@ -120,17 +124,17 @@
 			return;
 		}
 	}
-	if (output->kept->len + size > output->max_bytes) {
+	if (output->buffer->len + size > output->max_bytes) {
 		output_drop(output);
 		return;
 	}
-	g_byte_array_append(output->kept, (const guint8 *)line, (guint)size);
+	g_byte_array_append(output->buffer, (const guint8 *)line, (guint)size);
 	if (!output->source)
 		output->source = g_unix_fd_add(output->fd, G_IO_OUT,
 					       on_writable, output);
 }
 
-/* Lines dropped so far. */
+/* Returns the number of lines dropped so far. */
 uint64_t log_output_dropped(const struct log_output *output)
 {
 	return output->dropped;
--- a/adapters/log_output.h
+++ b/adapters/log_output.h
@@ -8,9 +8,9 @@
 G_BEGIN_DECLS
 
 /*
- * Lines written to a descriptor without ever waiting for its reader. What the
- * reader hasn't taken is kept up to a bound; lines beyond it are dropped and
- * counted, and the count is written as a line once there is room again.
+ * Writes lines to a descriptor without ever blocking on its reader. Lines that
+ * cannot be written yet are buffered up to a limit. Lines beyond it are dropped
+ * and counted, and the count is written as a line once the buffer is empty.
  */
 struct log_output;
 
--- a/adapters/order_client.c
+++ b/adapters/order_client.c
@@ -42,10 +42,12 @@
 }
 
 /*
- * Where it is not known whether the engine has taken an order, it is lost:
- * the core then reads back. Nothing but a plain refusal is called one.
+ * Returns ORDER_LOST unless the status shows whether the engine has accepted
+ * the order; the core then reads the state of the engine. Only a status that
+ * explicitly rejects the order is ORDER_REFUSED.
  */
-static enum order_outcome outcome_of(const struct bounded_result *result)
+static enum order_outcome
+order_outcome_of_status(const struct bounded_result *result)
 {
 	switch (result->status) {
 	case SOUP_STATUS_OK:
@@ -61,7 +63,7 @@
 	}
 }
 
-static void on_ordered(void *data, const struct bounded_result *result)
+static void on_order_answered(void *data, const struct bounded_result *result)
 {
 	struct order_call *call = data;
 	struct order_client *client = call->client;
@@ -70,13 +72,13 @@
 	call->request = NULL;
 	log_failure(client, result);
 	event.order.endpoint = call->endpoint;
-	event.order.outcome = outcome_of(result);
+	event.order.outcome = order_outcome_of_status(result);
 	g_hash_table_steal(client->calls, call);
 	client->sink.deliver(client->sink.data, &event);
 	order_call_destroy(call);
 }
 
-static void on_state(void *data, const struct bounded_result *result)
+static void on_state_read(void *data, const struct bounded_result *result)
 {
 	struct order_call *call = data;
 	struct order_client *client = call->client;
@@ -124,7 +126,7 @@
 	g_free(url);
 }
 
-/* A client without calls; log may be NULL, sink is copied. */
+/* Creates a client; log may be NULL and must outlive it, sink is copied. */
 struct order_client *order_client_create(struct log *log,
 					 const struct event_sink *sink)
 {
@@ -139,7 +141,7 @@
 	return client;
 }
 
-/* Gives up all calls without delivering them; NULL is allowed. */
+/* Cancels all calls without delivering an event. NULL is allowed. */
 void order_client_destroy(struct order_client *client)
 {
 	if (!client)
@@ -150,7 +152,7 @@
 	g_free(client);
 }
 
-/* Carries out an order or the reading of one; other types are not for it. */
+/* Executes ACTION_ORDER and ACTION_READ_ORDER; ignores other actions. */
 void order_client_apply(struct order_client *client,
 			const struct action *action)
 {
@@ -161,12 +163,12 @@
 		body = order_json_format(action->order.fence,
 					 action->order.target);
 		order_client_send(client, action->order.endpoint, body,
-				  action->order.timeout_us, on_ordered);
+				  action->order.timeout_us, on_order_answered);
 		g_bytes_unref(body);
 		break;
 	case ACTION_READ_ORDER:
 		order_client_send(client, action->read_order.endpoint, NULL,
-				  action->read_order.timeout_us, on_state);
+				  action->read_order.timeout_us, on_state_read);
 		break;
 	default:
 		break;
--- a/adapters/order_client.h
+++ b/adapters/order_client.h
@@ -8,8 +8,8 @@
 G_BEGIN_DECLS
 
 /*
- * Orders to engines. Carries ACTION_ORDER and ACTION_READ_ORDER out and
- * delivers EVENT_ORDER and EVENT_ORDER_STATE exactly once for each.
+ * Sends orders to engines. Executes ACTION_ORDER and ACTION_READ_ORDER and
+ * delivers exactly one EVENT_ORDER or EVENT_ORDER_STATE for each.
  */
 struct order_client;
 
--- a/adapters/peer_link.c
+++ b/adapters/peer_link.c
@@ -8,17 +8,17 @@
 #define STEP_SEND "peer.send"
 #define STEP_RECEIVE "peer.receive"
 #define STEP_BIND "peer.bind"
-#define MAX_OUTLETS 256
-#define MAX_RECORDS_AT_ONCE 64
+#define MAX_CONNECTIONS 256
+#define MAX_RECORDS_PER_DISPATCH 64
 #define MAX_SEND_QUEUE 1024
 #define MAX_RECEIVE_QUEUE 4096
-#define IDLE_US (120 * G_USEC_PER_SEC)
-#define SWEEP_S 15
+#define CONNECTION_IDLE_US (120 * G_USEC_PER_SEC)
+#define SWEEP_INTERVAL_S 15
 #define LOG_INTERVAL_US G_USEC_PER_SEC
 #define MAX_ADDRESS_BYTES 128
 
-/* The DEALER towards one peer. */
-struct outlet {
+/* The DEALER socket that sends to one peer. */
+struct connection {
 	void *socket;
 	int64_t used_us;
 	bool full; /* the last record was dropped */
@@ -29,12 +29,12 @@
 	struct event_sink sink;
 	void *context;
 	void *router;
-	GHashTable *outlets; /* address to struct outlet */
+	GHashTable *connections; /* address to struct connection */
 	GSource *source;
-	GSource *sweep;
+	GSource *sweep_timer;
 	char address[MAX_ADDRESS_BYTES];
 	int64_t logged_us;
-	int64_t suppressed; /* rejections not logged since */
+	int64_t suppressed; /* rejections since the last one logged */
 };
 
 struct router_source {
@@ -42,12 +42,12 @@
 	struct peer_link *link;
 };
 
-static void outlet_destroy(gpointer data)
+static void connection_destroy(gpointer data)
 {
-	struct outlet *outlet = data;
+	struct connection *connection = data;
 
-	zmq_close(outlet->socket);
-	g_free(outlet);
+	zmq_close(connection->socket);
+	g_free(connection);
 }
 
 static void socket_set_int(void *socket, int option, int value)
@@ -56,10 +56,10 @@
 }
 
 /*
- * A link that stalls without closing would swallow records for as long as TCP
- * retries. Heartbeats close it, and it is opened again. Their interval is
- * long because they cost bytes on every connection; membership has noticed
- * the silent peer by then.
+ * A connection that stalls without closing would lose records for as long as
+ * TCP retransmits. Heartbeats detect this, and ZeroMQ closes the connection and
+ * opens it again. Their interval is long because they cost bytes on every
+ * connection, and membership detects a silent peer earlier.
  */
 static void socket_set_common(void *socket)
 {
@@ -71,7 +71,7 @@
 	socket_set_int(socket, ZMQ_IPV6, 1);
 }
 
-/* A flood of bad records must not become a flood of lines. */
+/* Counts a rejected record; the rate of log lines is limited. */
 static void peer_link_reject(struct peer_link *link, const struct error *error)
 {
 	int64_t now_us = g_get_monotonic_time();
@@ -92,7 +92,7 @@
 	link->suppressed = 0;
 }
 
-static void peer_link_take(struct peer_link *link, zmq_msg_t *frame)
+static void peer_link_handle_record(struct peer_link *link, zmq_msg_t *frame)
 {
 	const char *peer = zmq_msg_gets(frame, "Peer-Address");
 	struct event event = {.type = EVENT_PEER};
@@ -102,7 +102,8 @@
 
 	if ((int64_t)zmq_msg_size(frame) > link->options.max_record_bytes) {
 		error_set(&error, ERROR_TOO_LARGE, STEP_RECEIVE, peer,
-			  "record of %zu bytes", zmq_msg_size(frame));
+			  "record of %zu bytes exceeds the size limit",
+			  zmq_msg_size(frame));
 		peer_link_reject(link, &error);
 		return;
 	}
@@ -121,8 +122,7 @@
 	peer_message_destroy(message);
 }
 
-/* Reads the frames after the second one, which no node sends, and drops them.
- */
+/* Reads and discards the frames after the second one; no node sends any. */
 static void peer_link_skip_frames(struct peer_link *link, zmq_msg_t *frame)
 {
 	while (zmq_msg_more(frame)) {
@@ -133,7 +133,10 @@
 	}
 }
 
-/* One record: the sender's identity, then the record. False: none waits. */
+/*
+ * Receives one message: the sender's identity, then the record. Returns false
+ * if no message waits.
+ */
 static bool peer_link_receive(struct peer_link *link)
 {
 	struct error error;
@@ -150,11 +153,11 @@
 	if (identity_only || zmq_msg_more(&frame)) {
 		error_set(&error, ERROR_INVALID, STEP_RECEIVE,
 			  zmq_msg_gets(&frame, "Peer-Address"),
-			  "not one frame");
+			  "record is not a single frame");
 		peer_link_reject(link, &error);
 		peer_link_skip_frames(link, &frame);
 	} else {
-		peer_link_take(link, &frame);
+		peer_link_handle_record(link, &frame);
 	}
 	zmq_msg_close(&frame);
 	return true;
@@ -180,7 +183,7 @@
 	return peer_link_is_readable(((struct router_source *)source)->link);
 }
 
-/* A bounded number of records, so that a busy peer cannot keep the loop. */
+/* Receives a bounded number of records: a busy peer must not block the loop. */
 static gboolean router_source_dispatch(GSource *source, GSourceFunc callback,
 				       gpointer data)
 {
@@ -188,7 +191,7 @@
 
 	(void)callback;
 	(void)data;
-	for (int i = 0; i < MAX_RECORDS_AT_ONCE; i++) {
+	for (int i = 0; i < MAX_RECORDS_PER_DISPATCH; i++) {
 		if (!peer_link_receive(link))
 			break;
 	}
@@ -196,10 +199,11 @@
 }
 
 /*
- * ZMQ_FD becomes readable only at the moment ZeroMQ's state changes, and any
- * call on the socket may eat that edge. A loop that trusted it alone would
- * leave records unread until the next one comes. So the socket's own state is
- * asked before and after each poll, and the descriptor only wakes the loop.
+ * ZMQ_FD is edge-triggered: it becomes readable only when the state of the
+ * ZeroMQ socket changes, and any call on the socket may consume the edge. A
+ * loop that polled the descriptor alone would leave records unread until the
+ * next one arrives. The state of the socket is therefore read before and after
+ * each poll, and the descriptor only wakes the loop.
  */
 static GSourceFuncs router_source_funcs = {
 	.prepare = router_source_prepare,
@@ -207,16 +211,17 @@
 	.dispatch = router_source_dispatch,
 };
 
-static gboolean peer_link_sweep(gpointer data)
+static gboolean peer_link_close_idle(gpointer data)
 {
 	struct peer_link *link = data;
 	int64_t now_us = g_get_monotonic_time();
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, link->outlets);
+	g_hash_table_iter_init(&iter, link->connections);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		if (now_us - ((struct outlet *)value)->used_us > IDLE_US)
+		if (now_us - ((struct connection *)value)->used_us >
+		    CONNECTION_IDLE_US)
 			g_hash_table_iter_remove(&iter);
 	}
 	return G_SOURCE_CONTINUE;
@@ -234,12 +239,13 @@
 	g_source_add_unix_fd(link->source, fd, G_IO_IN);
 	g_source_attach(link->source, g_main_context_get_thread_default());
 
-	link->sweep = g_timeout_source_new_seconds(SWEEP_S);
-	g_source_set_callback(link->sweep, peer_link_sweep, link, NULL);
-	g_source_attach(link->sweep, g_main_context_get_thread_default());
+	link->sweep_timer = g_timeout_source_new_seconds(SWEEP_INTERVAL_S);
+	g_source_set_callback(link->sweep_timer, peer_link_close_idle, link,
+			      NULL);
+	g_source_attach(link->sweep_timer, g_main_context_get_thread_default());
 }
 
-/* Binds to host:port; ZeroMQ calls a free port "*". */
+/* Binds to host:port. Port 0 becomes "*", by which ZeroMQ binds a free port. */
 static bool peer_link_bind(struct peer_link *link, struct error *error)
 {
 	const char *address = link->options.address;
@@ -263,31 +269,32 @@
 }
 
 /*
- * Opens the link and attaches it to the thread's default main context. The
- * options' log and counters must outlive it. Returns NULL and an error where
- * the address cannot be bound.
+ * Opens the link and attaches it to the thread's default main context. The log
+ * and the counters of the options must outlive the link. Returns NULL and sets
+ * error if the address cannot be bound.
  */
 struct peer_link *peer_link_create(const struct peer_link_options *options,
 				   const struct event_sink *sink,
 				   struct error *error)
 {
 	struct peer_link *link = g_new0(struct peer_link, 1);
-	int64_t hard_limit = options->max_record_bytes * 2 + 65536;
+	int64_t max_message_bytes = options->max_record_bytes * 2 + 65536;
 
 	link->options = *options;
 	link->sink = *sink;
-	link->outlets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					      outlet_destroy);
+	link->connections = g_hash_table_new_full(g_str_hash, g_str_equal,
+						  g_free, connection_destroy);
 	link->context = zmq_ctx_new();
 	link->router = zmq_socket(link->context, ZMQ_ROUTER);
 	socket_set_common(link->router);
 	socket_set_int(link->router, ZMQ_RCVHWM, MAX_RECEIVE_QUEUE);
 	/*
-	 * A record over the limit is read, counted and named; one far over it
-	 * is not read at all, and ZeroMQ closes the connection.
+	 * A record that exceeds the size limit is read, counted and logged.
+	 * For one that exceeds this second limit, ZeroMQ closes the connection
+	 * without reading the record.
 	 */
-	zmq_setsockopt(link->router, ZMQ_MAXMSGSIZE, &hard_limit,
-		       sizeof(hard_limit));
+	zmq_setsockopt(link->router, ZMQ_MAXMSGSIZE, &max_message_bytes,
+		       sizeof(max_message_bytes));
 	if (!peer_link_bind(link, error)) {
 		peer_link_destroy(link);
 		return NULL;
@@ -305,20 +312,20 @@
 	*source = NULL;
 }
 
-/* Closes the link; records not yet sent are dropped. NULL is allowed. */
+/* Closes and frees the link; unsent records are dropped. NULL is allowed. */
 void peer_link_destroy(struct peer_link *link)
 {
 	if (!link)
 		return;
 	source_clear(&link->source);
-	source_clear(&link->sweep);
-	g_hash_table_unref(link->outlets);
+	source_clear(&link->sweep_timer);
+	g_hash_table_unref(link->connections);
 	zmq_close(link->router);
 	zmq_ctx_term(link->context);
 	g_free(link);
 }
 
-/* The address bound, with the port that was free where 0 was asked for. */
+/* Returns the bound address, with the actual port if port 0 was given. */
 const char *peer_link_address(const struct peer_link *link)
 {
 	return link->address;
@@ -331,83 +338,86 @@
 	GHashTableIter iter;
 	gpointer key, value;
 
-	if (g_hash_table_size(link->outlets) < MAX_OUTLETS)
+	if (g_hash_table_size(link->connections) < MAX_CONNECTIONS)
 		return;
-	g_hash_table_iter_init(&iter, link->outlets);
+	g_hash_table_iter_init(&iter, link->connections);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
-		const struct outlet *outlet = value;
+		const struct connection *connection = value;
 
-		if (outlet->used_us < used_us) {
-			used_us = outlet->used_us;
+		if (connection->used_us < used_us) {
+			used_us = connection->used_us;
 			oldest = key;
 		}
 	}
-	g_hash_table_remove(link->outlets, oldest);
+	g_hash_table_remove(link->connections, oldest);
 }
 
-static struct outlet *peer_link_open(struct peer_link *link,
-				     const char *address, struct error *error)
+static struct connection *peer_link_connect(struct peer_link *link,
+					    const char *address,
+					    struct error *error)
 {
-	struct outlet *outlet = g_hash_table_lookup(link->outlets, address);
+	struct connection *connection =
+		g_hash_table_lookup(link->connections, address);
 	char endpoint[MAX_ADDRESS_BYTES + 8];
 
-	if (outlet)
-		return outlet;
+	if (connection)
+		return connection;
 	peer_link_evict(link);
-	outlet = g_new0(struct outlet, 1);
-	outlet->socket = zmq_socket(link->context, ZMQ_DEALER);
+	connection = g_new0(struct connection, 1);
+	connection->socket = zmq_socket(link->context, ZMQ_DEALER);
 	g_snprintf(endpoint, sizeof(endpoint), "tcp://%s", address);
-	if (!outlet->socket) {
+	if (!connection->socket) {
 		error_set(error, ERROR_INTERNAL, STEP_SEND, address, "%s",
 			  zmq_strerror(zmq_errno()));
-		g_free(outlet);
+		g_free(connection);
 		return NULL;
 	}
-	socket_set_common(outlet->socket);
-	socket_set_int(outlet->socket, ZMQ_SNDHWM, MAX_SEND_QUEUE);
-	/* Nothing is ever read here; a peer that sends fills one slot. */
-	socket_set_int(outlet->socket, ZMQ_RCVHWM, 1);
-	if (zmq_connect(outlet->socket, endpoint) != 0) {
+	socket_set_common(connection->socket);
+	socket_set_int(connection->socket, ZMQ_SNDHWM, MAX_SEND_QUEUE);
+	/* This socket is never read; a peer that sends fills one slot. */
+	socket_set_int(connection->socket, ZMQ_RCVHWM, 1);
+	if (zmq_connect(connection->socket, endpoint) != 0) {
 		error_set(error, ERROR_INVALID, STEP_SEND, address, "%s",
 			  zmq_strerror(zmq_errno()));
-		outlet_destroy(outlet);
+		connection_destroy(connection);
 		return NULL;
 	}
-	g_hash_table_insert(link->outlets, g_strdup(address), outlet);
-	return outlet;
+	g_hash_table_insert(link->connections, g_strdup(address), connection);
+	return connection;
 }
 
 static void peer_link_send_record(struct peer_link *link, const char *address,
 				  GBytes *record)
 {
 	struct error error;
-	struct outlet *outlet = peer_link_open(link, address, &error);
+	struct connection *connection =
+		peer_link_connect(link, address, &error);
 	gsize size;
 	const void *data;
 
-	if (!outlet) {
+	if (!connection) {
 		log_write_error(link->options.log, LOG_LEVEL_WARN,
 				"peer_unsent", &error);
 		return;
 	}
-	outlet->used_us = g_get_monotonic_time();
+	connection->used_us = g_get_monotonic_time();
 	data = g_bytes_get_data(record, &size);
-	if (zmq_send(outlet->socket, data, size, ZMQ_DONTWAIT) >= 0) {
+	if (zmq_send(connection->socket, data, size, ZMQ_DONTWAIT) >= 0) {
 		counters_add(link->options.counters, COUNTER_PEER_BYTES_SENT,
 			     size);
-		outlet->full = false;
-	} else if (!outlet->full) {
+		connection->full = false;
+	} else if (!connection->full) {
 		error_set(&error, ERROR_UNREACHABLE, STEP_SEND, address, "%s",
 			  zmq_strerror(zmq_errno()));
 		log_write_error(link->options.log, LOG_LEVEL_WARN,
 				"peer_unsent", &error);
-		outlet->full = true;
+		connection->full = true;
 	}
 }
 
 /*
- * Sends one message to each of the addresses, char *. It is written once: with
- * 87 peers writing it for each was half of what telling them cost.
+ * Sends one message to each of the addresses (char *). The message is encoded
+ * once: with 87 peers, encoding it for each was half of the cost of sending.
  */
 void peer_link_send(struct peer_link *link, const GPtrArray *addresses,
 		    const struct peer_message *message)
@@ -420,7 +430,7 @@
 	g_bytes_unref(record);
 }
 
-/* Carries ACTION_PEER_SEND out; other actions are not its own. */
+/* Executes ACTION_PEER_SEND; ignores actions of other types. */
 void peer_link_apply(struct peer_link *link, const struct action *action)
 {
 	GBytes *record;
--- a/adapters/peer_link.h
+++ b/adapters/peer_link.h
@@ -13,13 +13,14 @@
 G_BEGIN_DECLS
 
 /*
- * Records between nodes over ZeroMQ: one ROUTER that receives, one DEALER for
- * each peer sent to, never blocking; a full or dead link drops records, which
- * every protocol above it survives. Records are checked on reading; a bad one
- * is counted, logged with step and peer, and dropped.
+ * Exchanges records between nodes over ZeroMQ: one ROUTER socket receives, and
+ * one DEALER socket for each destination peer sends. Sending never blocks: a
+ * full or dead connection drops records, and every protocol above tolerates
+ * the loss. Received records are validated; an invalid one is counted, logged
+ * with step and peer, and dropped.
  */
 struct peer_link_options {
-	const char *address; /* host:port; port 0 takes a free one */
+	const char *address; /* host:port; port 0 binds a free one */
 	int64_t max_record_bytes;
 	struct log *log;
 	struct counters *counters;
--- a/adapters/setting.c
+++ b/adapters/setting.c
@@ -16,170 +16,175 @@
 #define FIELD(name) offsetof(struct settings, name)
 
 static const struct setting table[] = {
-	{"node", "name", SETTING_NAME, NEED_ALWAYS, FIELD(node.name), 0, 0,
+	{"node", "name", SETTING_NAME, REQUIRED_ALWAYS, FIELD(node.name), 0, 0,
 	 NULL, "unique among the nodes"},
-	{"node", "region", SETTING_NAME, NEED_ALWAYS, FIELD(node.region), 0, 0,
-	 NULL, "region the VM is in"},
-	{"node", "failure_domain", SETTING_NAME, NEED_ALWAYS,
+	{"node", "region", SETTING_NAME, REQUIRED_ALWAYS, FIELD(node.region), 0,
+	 0, NULL, "region the VM is in"},
+	{"node", "failure_domain", SETTING_NAME, REQUIRED_ALWAYS,
 	 FIELD(node.failure_domain), 0, 0, NULL, "failure domain the VM is in"},
-	{"node", "http_address", SETTING_ADDRESS, NEED_ALWAYS,
+	{"node", "http_address", SETTING_ADDRESS, REQUIRED_ALWAYS,
 	 FIELD(node.http_address), 0, 0, NULL,
 	 "where callers and operators connect"},
-	{"node", "peer_address", SETTING_ADDRESS, NEED_ALWAYS,
+	{"node", "peer_address", SETTING_ADDRESS, REQUIRED_ALWAYS,
 	 FIELD(node.peer_address), 0, 0, NULL, "where other nodes connect"},
-	{"node", "seeds", SETTING_ADDRESS_LIST, NEED_NOT, FIELD(node.seeds), 0,
-	 MAX_SEEDS, NULL, "peer addresses to join by; own one allowed"},
+	{"node", "seeds", SETTING_ADDRESS_LIST, REQUIRED_NEVER,
+	 FIELD(node.seeds), 0, MAX_SEEDS, NULL,
+	 "peer addresses to join by; own one allowed"},
 
-	{"keys", "event_key", SETTING_SECRET, NEED_WITHOUT_GATEWAY,
+	{"keys", "event_key", SETTING_SECRET, REQUIRED_WITHOUT_GATEWAY,
 	 FIELD(node.event_key), 16, MAX_SECRET_BYTES, NULL,
 	 "signs event ids; the same on all nodes"},
-	{"keys", "operator_key", SETTING_SECRET, NEED_NOT, FIELD(operator_key),
-	 16, MAX_SECRET_BYTES, NULL,
+	{"keys", "operator_key", SETTING_SECRET, REQUIRED_NEVER,
+	 FIELD(operator_key), 16, MAX_SECRET_BYTES, NULL,
 	 "opens the operators' API; none closes it"},
 
-	{"platform", "kv_address", SETTING_ADDRESS, NEED_WITHOUT_STORE,
+	{"platform", "kv_address", SETTING_ADDRESS, REQUIRED_WITHOUT_STORE,
 	 FIELD(kv_address), 0, 0, NULL, "key-value service"},
-	{"platform", "vm_list_address", SETTING_ADDRESS, NEED_NOT,
+	{"platform", "vm_list_address", SETTING_ADDRESS, REQUIRED_NEVER,
 	 FIELD(vm_list_address), 0, 0, NULL,
 	 "VM list; none: endpoints leave by report only"},
-	{"platform", "vm_list_poll_ms", SETTING_INT64, NEED_NOT,
+	{"platform", "vm_list_poll_ms", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(vm_list_poll_ms), 100, 60000, NULL,
 	 "between reads of the VM list"},
-	{"platform", "kv_timeout_ms", SETTING_MS, NEED_NOT,
+	{"platform", "kv_timeout_ms", SETTING_MS, REQUIRED_NEVER,
 	 FIELD(node.kv_timeout_us), 50, 60000, NULL,
 	 "one call to the key-value service"},
 
-	{"gateway", "address", SETTING_ADDRESS, NEED_NOT,
+	{"gateway", "address", SETTING_ADDRESS, REQUIRED_NEVER,
 	 FIELD(gateway.address), 0, 0, NULL,
 	 "callers' requests by routes; none: no gateway"},
-	{"gateway", "ready_address", SETTING_ADDRESS, NEED_NOT,
+	{"gateway", "ready_address", SETTING_ADDRESS, REQUIRED_NEVER,
 	 FIELD(gateway.ready_address), 0, 0, NULL,
 	 "answers whether the node takes work"},
-	{"gateway", "directory_address", SETTING_ADDRESS, NEED_NOT,
+	{"gateway", "directory_address", SETTING_ADDRESS, REQUIRED_NEVER,
 	 FIELD(gateway.directory_address), 0, 0, NULL,
 	 "answers which nodes take work"},
-	{"gateway", "store_address", SETTING_ADDRESS, NEED_NOT,
+	{"gateway", "store_address", SETTING_ADDRESS, REQUIRED_NEVER,
 	 FIELD(gateway.store_address), 0, 0, NULL,
 	 "the platform's metadata store; none: own configuration"},
-	{"gateway", "drain_s", SETTING_S, NEED_NOT, FIELD(gateway.drain_us), 1,
-	 3600, NULL, "from SIGTERM to the end of the process"},
-	{"gateway", "address_keep_s", SETTING_S, NEED_NOT,
+	{"gateway", "drain_s", SETTING_S, REQUIRED_NEVER,
+	 FIELD(gateway.drain_us), 1, 3600, NULL,
+	 "from SIGTERM to the end of the process"},
+	{"gateway", "address_keep_s", SETTING_S, REQUIRED_NEVER,
 	 FIELD(gateway.address_keep_us), 1, 60, NULL,
 	 "callers keep an answer of the directory"},
-	{"gateway", "retry_ratio", SETTING_RATIO, NEED_NOT,
+	{"gateway", "retry_ratio", SETTING_RATIO, REQUIRED_NEVER,
 	 FIELD(gateway.retry_percent), 0, 1, NULL,
 	 "sends beyond the first, as a share of requests"},
-	{"gateway", "retry_extra", SETTING_INT64, NEED_NOT,
+	{"gateway", "retry_extra", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(gateway.retry_extra), 0, 1000000, NULL,
 	 "and so many more in a window, of all nodes together"},
-	{"gateway", "home_from_nodes", SETTING_INT64, NEED_NOT,
+	{"gateway", "home_from_nodes", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(gateway.home_from_nodes), 2, 1000000, NULL,
 	 "with so many nodes one chooses engines for all"},
-	{"gateway", "retry_window_s", SETTING_S, NEED_NOT,
+	{"gateway", "retry_window_s", SETTING_S, REQUIRED_NEVER,
 	 FIELD(gateway.retry_window_us), 1, 3600, NULL,
 	 "window in which retries are counted"},
 
-	{"policy", "placement", SETTING_CHOICE, NEED_NOT, FIELD(node.placement),
-	 0, 0, placement_choices,
+	{"policy", "placement", SETTING_CHOICE, REQUIRED_NEVER,
+	 FIELD(node.placement), 0, 0, placement_choices,
 	 "who counts an engine: its home node, or each"},
-	{"policy", "policy", SETTING_CHOICE, NEED_NOT, FIELD(node.policy), 0, 0,
-	 policy_choices, "admission to engines"},
-	{"policy", "engines_per_shard", SETTING_INT32, NEED_NOT,
+	{"policy", "policy", SETTING_CHOICE, REQUIRED_NEVER, FIELD(node.policy),
+	 0, 0, policy_choices, "admission to engines"},
+	{"policy", "engines_per_shard", SETTING_INT32, REQUIRED_NEVER,
 	 FIELD(node.engines_per_shard), 1, 4096, NULL,
 	 "engines that share one home node"},
-	{"policy", "max_attempts", SETTING_INT32, NEED_NOT,
+	{"policy", "max_attempts", SETTING_INT32, REQUIRED_NEVER,
 	 FIELD(node.max_attempts), 1, 10, NULL,
 	 "endpoints tried for one request"},
-	{"policy", "retry_percent", SETTING_INT32, NEED_NOT,
+	{"policy", "retry_percent", SETTING_INT32, REQUIRED_NEVER,
 	 FIELD(node.retry_percent), 0, 100, NULL,
 	 "retries as a share of first attempts"},
 
-	{"limits", "max_calls", SETTING_INT32, NEED_NOT, FIELD(node.max_calls),
-	 1, 1000000, NULL, "open calls"},
-	{"limits", "max_waiting", SETTING_INT32, NEED_NOT,
+	{"limits", "max_calls", SETTING_INT32, REQUIRED_NEVER,
+	 FIELD(node.max_calls), 1, 1000000, NULL, "open calls"},
+	{"limits", "max_waiting", SETTING_INT32, REQUIRED_NEVER,
 	 FIELD(node.max_waiting), 1, 1000000, NULL,
 	 "calls waiting for an endpoint"},
-	{"limits", "max_outcomes", SETTING_INT32, NEED_NOT,
+	{"limits", "max_outcomes", SETTING_INT32, REQUIRED_NEVER,
 	 FIELD(node.max_outcomes), 1, 10000000, NULL, "request ids remembered"},
-	{"limits", "max_outcome_bytes", SETTING_INT32, NEED_NOT,
+	{"limits", "max_outcome_bytes", SETTING_INT32, REQUIRED_NEVER,
 	 FIELD(node.max_outcome_bytes), 0, 1 << 24, NULL,
 	 "kept of one outcome"},
-	{"limits", "max_connections", SETTING_INT64, NEED_NOT,
+	{"limits", "max_connections", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(max_connections), 1, 1000000, NULL,
 	 "open connections of callers"},
-	{"limits", "max_open_files", SETTING_INT64, NEED_NOT,
+	{"limits", "max_open_files", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(max_open_files), 0, 10000000, NULL,
 	 "fewer connections are taken if these don't suffice; 0: no bound"},
-	{"limits", "max_header_bytes", SETTING_INT64, NEED_NOT,
+	{"limits", "max_header_bytes", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(max_header_bytes), 1024, 1 << 20, NULL, "headers of a request"},
-	{"limits", "max_body_bytes", SETTING_INT64, NEED_NOT,
+	{"limits", "max_body_bytes", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(max_body_bytes), 1024, 1 << 30, NULL, "body of a request"},
-	{"limits", "max_answer_bytes", SETTING_INT64, NEED_NOT,
+	{"limits", "max_answer_bytes", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(max_answer_bytes), 1024, 1 << 30, NULL,
 	 "answer of a plain endpoint"},
-	{"limits", "stream_buffer_bytes", SETTING_INT64, NEED_NOT,
+	{"limits", "stream_buffer_bytes", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(stream_buffer_bytes), 4096, 1 << 26, NULL,
 	 "held for a slow caller of a stream"},
-	{"limits", "max_peer_record_bytes", SETTING_INT64, NEED_NOT,
+	{"limits", "max_peer_record_bytes", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(max_peer_record_bytes), 4096, 1 << 24, NULL,
 	 "one record from another node"},
 
-	{"times", "heartbeat_ms", SETTING_MS, NEED_NOT,
+	{"times", "heartbeat_ms", SETTING_MS, REQUIRED_NEVER,
 	 FIELD(node.heartbeat_us), 50, 60000, NULL,
 	 "between probes of a random node"},
-	{"times", "suspect_ms", SETTING_MS, NEED_NOT, FIELD(node.suspect_us),
-	 100, 600000, NULL, "from no answer to dead"},
-	{"times", "load_poll_ms", SETTING_MS, NEED_NOT,
+	{"times", "suspect_ms", SETTING_MS, REQUIRED_NEVER,
+	 FIELD(node.suspect_us), 100, 600000, NULL, "from no answer to dead"},
+	{"times", "load_poll_ms", SETTING_MS, REQUIRED_NEVER,
 	 FIELD(node.load_poll_us), 50, 60000, NULL,
 	 "between reads of an endpoint's load"},
-	{"times", "progress_ms", SETTING_MS, NEED_NOT, FIELD(node.progress_us),
-	 50, 60000, NULL, "between reports to a home node"},
-	{"times", "connect_timeout_ms", SETTING_INT64, NEED_NOT,
+	{"times", "progress_ms", SETTING_MS, REQUIRED_NEVER,
+	 FIELD(node.progress_us), 50, 60000, NULL,
+	 "between reports to a home node"},
+	{"times", "connect_timeout_ms", SETTING_INT64, REQUIRED_NEVER,
 	 FIELD(connect_timeout_ms), 10, 60000, NULL,
 	 "connecting to an endpoint"},
-	{"times", "first_token_timeout_ms", SETTING_MS, NEED_NOT,
+	{"times", "first_token_timeout_ms", SETTING_MS, REQUIRED_NEVER,
 	 FIELD(node.first_token_timeout_us), 100, 3600000, NULL,
 	 "from sending to the first token"},
-	{"times", "stall_timeout_ms", SETTING_MS, NEED_NOT,
+	{"times", "stall_timeout_ms", SETTING_MS, REQUIRED_NEVER,
 	 FIELD(node.stall_timeout_us), 100, 3600000, NULL,
 	 "between chunks of a stream"},
-	{"times", "plain_timeout_ms", SETTING_MS, NEED_NOT,
+	{"times", "plain_timeout_ms", SETTING_MS, REQUIRED_NEVER,
 	 FIELD(node.plain_timeout_us), 100, 3600000, NULL,
 	 "a plain endpoint's whole answer"},
-	{"times", "answer_keep_s", SETTING_S, NEED_NOT,
+	{"times", "answer_keep_s", SETTING_S, REQUIRED_NEVER,
 	 FIELD(node.answer_keep_us), 1, 3600, NULL,
 	 "life of an answer of /v1/nodes"},
-	{"times", "id_memory_s", SETTING_S, NEED_NOT, FIELD(node.id_memory_us),
-	 1, 86400, NULL, "outcomes of request ids are remembered"},
-	{"times", "drain_timeout_s", SETTING_S, NEED_NOT,
+	{"times", "id_memory_s", SETTING_S, REQUIRED_NEVER,
+	 FIELD(node.id_memory_us), 1, 86400, NULL,
+	 "outcomes of request ids are remembered"},
+	{"times", "drain_timeout_s", SETTING_S, REQUIRED_NEVER,
 	 FIELD(node.drain_timeout_us), 0, 86400, NULL,
 	 "streams may take to end when stopping; 0: no bound"},
-	{"times", "isolation_s", SETTING_S, NEED_NOT, FIELD(node.isolation_us),
-	 1, 3600, NULL, "without the service and most nodes: no new work"},
+	{"times", "isolation_s", SETTING_S, REQUIRED_NEVER,
+	 FIELD(node.isolation_us), 1, 3600, NULL,
+	 "without the service and most nodes: no new work"},
 
-	{"log", "level", SETTING_CHOICE, NEED_NOT, FIELD(log_level), 0, 0,
+	{"log", "level", SETTING_CHOICE, REQUIRED_NEVER, FIELD(log_level), 0, 0,
 	 level_choices, "least level written"},
 };
 
-/* How many settings there are. */
+/* Returns the number of settings. */
 size_t setting_count(void)
 {
 	return G_N_ELEMENTS(table);
 }
 
-/* A setting, in the order of the help; i is below the count. */
+/* Returns setting i, in the order of the help; i is below setting_count(). */
 const struct setting *setting_at(size_t i)
 {
 	return &table[i];
 }
 
-/* Where the settings keep it. */
+/* Returns the field of the settings that stores this setting. */
 void *setting_field(const struct setting *setting, struct settings *settings)
 {
 	return (char *)settings + setting->offset;
 }
 
-/* Kept as a string, and checked as one. */
+/* Returns true for names, addresses and secrets, which are strings. */
 bool setting_is_text(const struct setting *setting)
 {
 	return setting->type == SETTING_NAME ||
@@ -199,7 +204,7 @@
 	}
 }
 
-/* A number in the unit of its key. */
+/* Returns a number in the unit of its key. */
 int64_t setting_get_number(const struct setting *setting,
 			   struct settings *settings)
 {
@@ -210,7 +215,7 @@
 	return *(int64_t *)field / setting_scale(setting);
 }
 
-/* Takes a number in the unit of its key. */
+/* Stores a number given in the unit of its key. */
 void setting_set_number(const struct setting *setting,
 			struct settings *settings, int64_t value)
 {
@@ -222,7 +227,7 @@
 		*(int64_t *)field = value * setting_scale(setting);
 }
 
-/* Takes a copy of the text. */
+/* Stores a copy of the text and frees the former one. */
 void setting_set_text(const struct setting *setting, struct settings *settings,
 		      const char *text)
 {
@@ -232,13 +237,19 @@
 	*field = g_strdup(text);
 }
 
-/* The log level is kept as text, the other choices as their enum. */
-bool setting_keeps_text(const struct setting *setting)
+/*
+ * Returns true if the field is a string. The log level is stored as a string,
+ * the other choices as their enum value.
+ */
+bool setting_stores_text(const struct setting *setting)
 {
 	return setting_is_text(setting) || setting->choices == level_choices;
 }
 
-/* The setting of a section; an empty key finds its first one. NULL: none. */
+/*
+ * Returns the setting with this section and key, or NULL. An empty key finds
+ * the first setting of the section.
+ */
 const struct setting *setting_find(const char *section, const char *key)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(table); i++) {
@@ -249,8 +260,11 @@
 	return NULL;
 }
 
-/* What the key takes, for errors and help; freed by g_free. */
-char *setting_expectation(const struct setting *setting)
+/*
+ * Returns the description of the accepted values, for errors and help. The
+ * caller frees it with g_free.
+ */
+char *setting_accepted_values(const struct setting *setting)
 {
 	char *choices, *text;
 
--- a/adapters/setting.h
+++ b/adapters/setting.h
@@ -10,7 +10,7 @@
 
 G_BEGIN_DECLS
 
-/* One key of the settings file: what it takes and where it is kept. */
+/* One key of the settings file: its accepted values and its field. */
 enum setting_type {
 	SETTING_NAME,
 	SETTING_ADDRESS,
@@ -19,25 +19,25 @@
 	SETTING_CHOICE,
 	SETTING_INT32,
 	SETTING_INT64,
-	SETTING_MS,   /* kept in microseconds */
-	SETTING_S,    /* kept in microseconds */
-	SETTING_RATIO /* kept in hundredths */
+	SETTING_MS,   /* stored in microseconds */
+	SETTING_S,    /* stored in microseconds */
+	SETTING_RATIO /* stored in hundredths */
 };
 
-enum setting_need {
-	NEED_NOT,
-	NEED_ALWAYS,
-	NEED_WITHOUT_GATEWAY,
-	NEED_WITHOUT_STORE /* a gateway may have the platform's store */
+enum setting_required {
+	REQUIRED_NEVER,
+	REQUIRED_ALWAYS,
+	REQUIRED_WITHOUT_GATEWAY,
+	REQUIRED_WITHOUT_STORE /* a gateway may use the platform's store */
 };
 
 struct setting {
 	const char *section;
 	const char *key;
 	enum setting_type type;
-	enum setting_need need;
-	size_t offset;
-	int64_t min; /* numbers: value; secrets: length */
+	enum setting_required required;
+	size_t offset; /* of the field in struct settings */
+	int64_t min;   /* numbers: value; secrets: length */
 	int64_t max;
 	const char *const *choices; /* the default first, NULL-terminated */
 	const char *help;
@@ -48,14 +48,14 @@
 const struct setting *setting_find(const char *section, const char *key);
 void *setting_field(const struct setting *setting, struct settings *settings);
 bool setting_is_text(const struct setting *setting);
-bool setting_keeps_text(const struct setting *setting);
+bool setting_stores_text(const struct setting *setting);
 int64_t setting_get_number(const struct setting *setting,
 			   struct settings *settings);
 void setting_set_number(const struct setting *setting,
 			struct settings *settings, int64_t value);
 void setting_set_text(const struct setting *setting, struct settings *settings,
 		      const char *text);
-char *setting_expectation(const struct setting *setting);
+char *setting_accepted_values(const struct setting *setting);
 
 G_END_DECLS
 
--- a/adapters/settings.c
+++ b/adapters/settings.c
@@ -7,10 +7,11 @@
 #include <string.h>
 
 /*
- * Fewer nodes hear of one another's placements within 0.1 s, by the bound on
- * standings, and choose engines by themselves without asking.
+ * Below this number of nodes, each node learns of the placements of the others
+ * within 0.1 s, by the bound on standings, and chooses engines by itself
+ * without a request to a home node.
  */
-#define HOME_FROM_NODES 16
+#define DEFAULT_HOME_FROM_NODES 16
 
 #define STEP "settings.load"
 #define MAX_NAME_BYTES 64
@@ -59,39 +60,42 @@
 	return length >= setting->min && length <= setting->max;
 }
 
-static bool settings_fail(struct error *error, const char *path,
-			  const struct toml_entry *entry,
-			  const struct setting *setting, const char *problem)
+static bool settings_set_error(struct error *error, const char *path,
+			       const struct toml_entry *entry,
+			       const struct setting *setting,
+			       const char *problem)
 {
-	char *expectation = setting_expectation(setting);
+	char *accepted_values = setting_accepted_values(setting);
 
 	error_set(error, ERROR_INVALID, STEP, path,
 		  "line %d: [%s] %s: %s, expected %s", entry->line,
-		  setting->section, setting->key, problem, expectation);
-	g_free(expectation);
+		  setting->section, setting->key, problem, accepted_values);
+	g_free(accepted_values);
 	return false;
 }
 
-static bool settings_take_list(struct settings *settings, const char *path,
-			       const struct setting *setting,
-			       const struct toml_entry *entry,
-			       struct error *error)
+static bool settings_apply_list(struct settings *settings, const char *path,
+				const struct setting *setting,
+				const struct toml_entry *entry,
+				struct error *error)
 {
 	char ***field = setting_field(setting, settings);
 
 	if (entry->type != TOML_STRING_LIST)
-		return settings_fail(error, path, entry, setting, "wrong type");
+		return settings_set_error(error, path, entry, setting,
+					  "wrong type");
 	if (g_strv_length(entry->strings) > setting->max)
-		return settings_fail(error, path, entry, setting, "too many");
+		return settings_set_error(error, path, entry, setting,
+					  "too many");
 	for (char **item = entry->strings; *item; item++) {
 		if (!address_is_valid(*item))
-			return settings_fail(error, path, entry, setting,
-					     "not an address");
+			return settings_set_error(error, path, entry, setting,
+						  "not an address");
 		for (char **other = entry->strings; other < item; other++) {
 			if (strcmp(*other, *item) == 0)
-				return settings_fail(error, path, entry,
-						     setting,
-						     "duplicate address");
+				return settings_set_error(error, path, entry,
+							  setting,
+							  "duplicate address");
 		}
 	}
 	g_strfreev(*field);
@@ -99,15 +103,16 @@
 	return true;
 }
 
-static bool settings_take_text(struct settings *settings, const char *path,
-			       const struct setting *setting,
-			       const struct toml_entry *entry,
-			       struct error *error)
+static bool settings_apply_text(struct settings *settings, const char *path,
+				const struct setting *setting,
+				const struct toml_entry *entry,
+				struct error *error)
 {
 	bool valid;
 
 	if (entry->type != TOML_STRING)
-		return settings_fail(error, path, entry, setting, "wrong type");
+		return settings_set_error(error, path, entry, setting,
+					  "wrong type");
 	if (setting->type == SETTING_NAME)
 		valid = name_is_valid(entry->string);
 	else if (setting->type == SETTING_ADDRESS)
@@ -115,66 +120,70 @@
 	else
 		valid = secret_is_valid(setting, entry->string);
 	if (!valid)
-		return settings_fail(error, path, entry, setting,
-				     "out of range");
+		return settings_set_error(error, path, entry, setting,
+					  "out of range");
 	setting_set_text(setting, settings, entry->string);
 	return true;
 }
 
-static bool settings_take_choice(struct settings *settings, const char *path,
-				 const struct setting *setting,
-				 const struct toml_entry *entry,
-				 struct error *error)
+static bool settings_apply_choice(struct settings *settings, const char *path,
+				  const struct setting *setting,
+				  const struct toml_entry *entry,
+				  struct error *error)
 {
 	if (entry->type != TOML_STRING)
-		return settings_fail(error, path, entry, setting, "wrong type");
+		return settings_set_error(error, path, entry, setting,
+					  "wrong type");
 	for (int i = 0; setting->choices[i]; i++) {
 		if (strcmp(setting->choices[i], entry->string) != 0)
 			continue;
-		if (setting_keeps_text(setting))
+		if (setting_stores_text(setting))
 			setting_set_text(setting, settings, entry->string);
 		else
 			*(int *)setting_field(setting, settings) = i;
 		return true;
 	}
-	return settings_fail(error, path, entry, setting, "unknown value");
+	return settings_set_error(error, path, entry, setting, "unknown value");
 }
 
-static bool settings_take_number(struct settings *settings, const char *path,
-				 const struct setting *setting,
-				 const struct toml_entry *entry,
-				 struct error *error)
+static bool settings_apply_number(struct settings *settings, const char *path,
+				  const struct setting *setting,
+				  const struct toml_entry *entry,
+				  struct error *error)
 {
 	if (entry->type != TOML_INTEGER)
-		return settings_fail(error, path, entry, setting, "wrong type");
+		return settings_set_error(error, path, entry, setting,
+					  "wrong type");
 	if (entry->integer < setting->min || entry->integer > setting->max)
-		return settings_fail(error, path, entry, setting,
-				     "out of range");
+		return settings_set_error(error, path, entry, setting,
+					  "out of range");
 	setting_set_number(setting, settings, entry->integer);
 	return true;
 }
 
-static bool settings_take_ratio(struct settings *settings, const char *path,
-				const struct setting *setting,
-				const struct toml_entry *entry,
-				struct error *error)
+static bool settings_apply_ratio(struct settings *settings, const char *path,
+				 const struct setting *setting,
+				 const struct toml_entry *entry,
+				 struct error *error)
 {
 	double real = entry->real;
 
 	if (entry->type == TOML_INTEGER)
 		real = (double)entry->integer;
 	else if (entry->type != TOML_FLOAT)
-		return settings_fail(error, path, entry, setting, "wrong type");
+		return settings_set_error(error, path, entry, setting,
+					  "wrong type");
 	if (!(real >= (double)setting->min && real <= (double)setting->max))
-		return settings_fail(error, path, entry, setting,
-				     "out of range");
+		return settings_set_error(error, path, entry, setting,
+					  "out of range");
 	*(int64_t *)setting_field(setting, settings) =
 		(int64_t)(real * 100 + 0.5);
 	return true;
 }
 
-static bool settings_take(struct settings *settings, const char *path,
-			  const struct toml_entry *entry, struct error *error)
+static bool settings_apply_entry(struct settings *settings, const char *path,
+				 const struct toml_entry *entry,
+				 struct error *error)
 {
 	const struct setting *setting = setting_find(entry->section, "");
 
@@ -200,38 +209,38 @@
 	case SETTING_NAME:
 	case SETTING_ADDRESS:
 	case SETTING_SECRET:
-		return settings_take_text(settings, path, setting, entry,
-					  error);
+		return settings_apply_text(settings, path, setting, entry,
+					   error);
 	case SETTING_ADDRESS_LIST:
-		return settings_take_list(settings, path, setting, entry,
-					  error);
+		return settings_apply_list(settings, path, setting, entry,
+					   error);
 	case SETTING_CHOICE:
-		return settings_take_choice(settings, path, setting, entry,
-					    error);
+		return settings_apply_choice(settings, path, setting, entry,
+					     error);
 	case SETTING_INT32:
 	case SETTING_INT64:
 	case SETTING_MS:
 	case SETTING_S:
-		return settings_take_number(settings, path, setting, entry,
-					    error);
+		return settings_apply_number(settings, path, setting, entry,
+					     error);
 	case SETTING_RATIO:
-		return settings_take_ratio(settings, path, setting, entry,
-					   error);
+		return settings_apply_ratio(settings, path, setting, entry,
+					    error);
 	}
 	return false;
 }
 
-static bool setting_is_needed(const struct setting *setting,
-			      const struct settings *settings)
+static bool setting_is_required(const struct setting *setting,
+				const struct settings *settings)
 {
-	switch (setting->need) {
-	case NEED_NOT:
+	switch (setting->required) {
+	case REQUIRED_NEVER:
 		return false;
-	case NEED_ALWAYS:
+	case REQUIRED_ALWAYS:
 		return true;
-	case NEED_WITHOUT_GATEWAY:
+	case REQUIRED_WITHOUT_GATEWAY:
 		return !*settings->gateway.address;
-	case NEED_WITHOUT_STORE:
+	case REQUIRED_WITHOUT_STORE:
 		return !*settings->gateway.address ||
 		       !*settings->gateway.store_address;
 	}
@@ -243,16 +252,16 @@
 {
 	for (size_t i = 0; i < setting_count(); i++) {
 		const struct setting *setting = setting_at(i);
-		char *expectation;
+		char *accepted_values;
 
-		if (!setting_is_needed(setting, settings) ||
+		if (!setting_is_required(setting, settings) ||
 		    **(char **)setting_field(setting, settings))
 			continue;
-		expectation = setting_expectation(setting);
+		accepted_values = setting_accepted_values(setting);
 		error_set(error, ERROR_INVALID, STEP, path,
 			  "[%s] %s: missing, expected %s", setting->section,
-			  setting->key, expectation);
-		g_free(expectation);
+			  setting->key, accepted_values);
+		g_free(accepted_values);
 		return false;
 	}
 	return true;
@@ -295,7 +304,10 @@
 	return true;
 }
 
-/* Settings at their defaults; texts without one are empty. */
+/*
+ * Creates settings with their defaults; a string without a default is empty.
+ * The caller frees them with settings_destroy().
+ */
 struct settings *settings_create(void)
 {
 	struct settings *settings = g_new0(struct settings, 1);
@@ -321,13 +333,13 @@
 	settings->gateway.address_keep_us = 2 * G_USEC_PER_SEC;
 	settings->gateway.retry_percent = 20;
 	settings->gateway.retry_extra = 50;
-	settings->gateway.home_from_nodes = HOME_FROM_NODES;
+	settings->gateway.home_from_nodes = DEFAULT_HOME_FROM_NODES;
 	settings->gateway.retry_window_us = 10 * G_USEC_PER_SEC;
 	return settings;
 }
 
-/* The end of a path is what tells files apart where it has to be cut. */
-static const char *settings_shorten_path(const char *path, size_t size)
+/* Returns the path, or its end if it is too long: the end identifies a file. */
+static const char *settings_path_tail(const char *path, size_t size)
 {
 	size_t length = strlen(path);
 
@@ -335,12 +347,13 @@
 }
 
 /*
- * Reads and checks a settings file. Returns NULL and one error that names the
- * file, the key and what was expected; values of secrets are in no error.
+ * Reads and checks a settings file. On failure returns NULL and sets an error
+ * that names the file, the key and the accepted values. No error contains the
+ * value of a secret.
  */
 struct settings *settings_load(const char *path, struct error *error)
 {
-	const char *file = settings_shorten_path(path, sizeof(error->peer));
+	const char *file = settings_path_tail(path, sizeof(error->peer));
 	GPtrArray *entries = toml_reader_load(path, error);
 	struct settings *settings;
 	bool valid = true;
@@ -351,8 +364,8 @@
 	}
 	settings = settings_create();
 	for (guint i = 0; valid && i < entries->len; i++)
-		valid = settings_take(settings, file,
-				      g_ptr_array_index(entries, i), error);
+		valid = settings_apply_entry(
+			settings, file, g_ptr_array_index(entries, i), error);
 	valid = valid && settings_check_required(settings, file, error) &&
 		settings_check_addresses(settings, file, error);
 	g_ptr_array_unref(entries);
@@ -371,7 +384,7 @@
 
 		if (setting_at(i)->type == SETTING_ADDRESS_LIST)
 			g_strfreev(*(char ***)field);
-		else if (setting_keeps_text(setting_at(i)))
+		else if (setting_stores_text(setting_at(i)))
 			g_free(*(char **)field);
 	}
 	g_free(settings);
--- a/adapters/settings.h
+++ b/adapters/settings.h
@@ -11,11 +11,12 @@
 G_BEGIN_DECLS
 
 /*
- * A node's settings file: TOML, a unit in each key that has one, every key
- * checked. Strings are owned by the settings; node.* point into them.
+ * The settings file of a node, in TOML. The key of a quantity that has a
+ * unit ends in the unit, and every key is checked. The settings own all
+ * strings; the strings of node point into them.
  */
 struct gateway_settings {
-	char *address;		 /* callers' requests; "": no gateway */
+	char *address;		 /* for callers' requests; "": no gateway */
 	char *ready_address;	 /* "" for none */
 	char *directory_address; /* "" for none */
 	char *store_address;	 /* the platform's metadata store */
@@ -32,15 +33,15 @@
 	struct node_options node; /* incarnation and seed are not set here */
 	char *kv_address;
 	char *vm_list_address; /* "" for none */
-	char *operator_key;    /* "" closes the operators' API */
+	char *operator_key;    /* "" disables the operators' API */
 	char *log_level;       /* "info", "warn" or "error" */
 	int64_t vm_list_poll_ms;
 	int64_t max_header_bytes;
 	int64_t max_body_bytes;	     /* of a caller's request */
 	int64_t max_answer_bytes;    /* of a plain endpoint's answer */
-	int64_t stream_buffer_bytes; /* held for a slow caller */
+	int64_t stream_buffer_bytes; /* buffered for a slow caller */
 	int64_t max_connections;
-	int64_t max_open_files; /* 0: as the system allows */
+	int64_t max_open_files; /* 0: only the system's limit */
 	int64_t max_peer_record_bytes;
 	int64_t connect_timeout_ms;
 };
--- a/adapters/settings_help.c
+++ b/adapters/settings_help.c
@@ -16,17 +16,17 @@
 static char *setting_default(const struct setting *setting,
 			     struct settings *settings)
 {
-	switch (setting->need) {
-	case NEED_ALWAYS:
+	switch (setting->required) {
+	case REQUIRED_ALWAYS:
 		return g_strdup("required");
-	case NEED_WITHOUT_GATEWAY:
+	case REQUIRED_WITHOUT_GATEWAY:
 		return g_strdup("required without a gateway");
-	case NEED_WITHOUT_STORE:
+	case REQUIRED_WITHOUT_STORE:
 		return g_strdup("required without gateway.store_address");
-	case NEED_NOT:
+	case REQUIRED_NEVER:
 		break;
 	}
-	if (setting->type == SETTING_CHOICE && setting_keeps_text(setting))
+	if (setting->type == SETTING_CHOICE && setting_stores_text(setting))
 		return g_strdup(settings->log_level);
 	if (setting->type == SETTING_CHOICE)
 		return g_strdup(setting->choices[*(int *)setting_field(
@@ -41,7 +41,7 @@
 			       setting_get_number(setting, settings));
 }
 
-/* Prints every key with its range, its default and what it is for. */
+/* Prints every key with its purpose, accepted values and default. */
 void settings_print_help(void)
 {
 	struct settings *settings = settings_create();
@@ -49,17 +49,17 @@
 
 	for (size_t i = 0; i < setting_count(); i++) {
 		const struct setting *setting = setting_at(i);
-		char *expectation = setting_expectation(setting);
-		char *preset = setting_default(setting, settings);
+		char *accepted_values = setting_accepted_values(setting);
+		char *default_text = setting_default(setting, settings);
 
 		if (strcmp(section, setting->section) != 0) {
 			section = setting->section;
 			printf("%s[%s]\n", i ? "\n" : "", section);
 		}
 		printf("  %-24s %s (%s; default: %s)\n", setting->key,
-		       setting->help, expectation, preset);
-		g_free(expectation);
-		g_free(preset);
+		       setting->help, accepted_values, default_text);
+		g_free(accepted_values);
+		g_free(default_text);
 	}
 	settings_destroy(settings);
 }
--- a/adapters/settings_help.h
+++ b/adapters/settings_help.h
@@ -5,7 +5,7 @@
 
 G_BEGIN_DECLS
 
-void settings_print_help(void); /* every key, unit, range and default */
+void settings_print_help(void);
 
 G_END_DECLS
 
--- a/adapters/settings_toml.cc
+++ b/adapters/settings_toml.cc
@@ -3,9 +3,9 @@
 #include <stdexcept>
 
 /*
- * Some malformed files reach an assertion of the parser, which would abort
- * the process (or, built without assertions, be undefined). Thrown instead, it
- * is one more parse error.
+ * Some malformed files fail an assertion of the parser, which would abort the
+ * process, or be undefined behaviour in a build without assertions. The
+ * assertion throws instead, so that the file is rejected as invalid.
  */
 [[noreturn]] static void toml_assertion_failed()
 {
@@ -16,9 +16,9 @@
 	((expr) ? static_cast<void>(0) : toml_assertion_failed())
 
 /*
- * The parser asks of each character outside strings whether it is a space, and
- * for U+00A1 to U+0499 its table of spaces runs into "unreachable", which is
- * undefined behaviour. There it now answers that the character is none.
+ * The parser checks whether each character outside strings is a space. For
+ * U+00A1 to U+0499, its lookup table reaches "unreachable", which is undefined
+ * behaviour. With this macro it returns that the character is not a space.
  */
 #include <toml++/impl/preprocessor.h>
 #pragma push_macro("TOML_UNREACHABLE")
@@ -71,13 +71,13 @@
 void toml_entry_set_list(struct toml_entry *entry, const toml::array &array)
 {
 	GPtrArray *strings = g_ptr_array_new();
-	bool legal = true;
+	bool is_string_list = true;
 
 	for (const toml::node &item : array) {
 		const auto *text = item.as_string();
 
 		if (!text || toml_text_has_nul(text->get())) {
-			legal = false;
+			is_string_list = false;
 			break;
 		}
 		g_ptr_array_add(strings, g_strdup(text->get().c_str()));
@@ -85,7 +85,7 @@
 	g_ptr_array_add(strings, nullptr);
 	entry->strings =
 		reinterpret_cast<char **>(g_ptr_array_free(strings, FALSE));
-	if (legal)
+	if (is_string_list)
 		entry->type = TOML_STRING_LIST;
 }
 
@@ -110,7 +110,7 @@
 	}
 }
 
-/* A table inside a section becomes a section "outer.inner". */
+/* Adds the keys of a table; a nested table becomes section "outer.inner". */
 void toml_flatten(GPtrArray *entries, const std::string &section,
 		  const toml::table &table)
 {
@@ -140,7 +140,7 @@
 	return left->line - right->line;
 }
 
-/* The parser's text goes on one line and never holds a whole value. */
+/* The parser's description is one line and never contains a whole value. */
 void toml_set_parse_error(struct error *error, const char *step,
 			  const char *peer, const toml::parse_error &failure)
 {
@@ -152,9 +152,10 @@
 } // namespace
 
 /*
- * Reads a TOML file of at most one megabyte. Returns struct toml_entry in the
- * order of the file, or NULL and an error that names the file:
- * ERROR_UNREACHABLE when it cannot be read, ERROR_INVALID when it is not TOML.
+ * Reads a TOML file of at most one megabyte. Returns an array of struct
+ * toml_entry in the order of the file, which the caller unrefs, or NULL and an
+ * error that names the file: ERROR_UNREACHABLE if it cannot be read,
+ * ERROR_INVALID if it is too large or not TOML.
  */
 GPtrArray *toml_reader_load(const char *path, struct error *error)
 {
@@ -191,8 +192,8 @@
 }
 
 /*
- * The TOML text as JSON, freed by the caller, or NULL and ERROR_INVALID. Dates
- * become strings.
+ * Returns the TOML text as JSON, which the caller frees, or NULL and
+ * ERROR_INVALID. Dates become strings.
  */
 char *toml_reader_to_json(const char *text, struct error *error)
 {
--- a/adapters/toml_reader.h
+++ b/adapters/toml_reader.h
@@ -10,8 +10,8 @@
 G_BEGIN_DECLS
 
 /*
- * TOML as a flat list of keys, in the order of the file, and TOML as JSON.
- * The parser is toml++; none of its exceptions leaves this module.
+ * Reads TOML as a flat list of keys in the order of the file, and converts TOML
+ * to JSON. The parser is toml++; none of its exceptions leaves this module.
  */
 
 enum toml_type {
@@ -21,11 +21,11 @@
 	TOML_FLOAT,
 	TOML_BOOLEAN,
 	TOML_STRING_LIST,
-	TOML_OTHER /* a type that settings have no use for */
+	TOML_OTHER /* a type that no setting uses */
 };
 
 struct toml_entry {
-	char *section; /* "" above the first section */
+	char *section; /* "" before the first section */
 	char *key;
 	int32_t line;
 	enum toml_type type;
--- a/adapters/vm_list_client.c
+++ b/adapters/vm_list_client.c
@@ -16,7 +16,7 @@
 	struct event_sink sink;
 	struct bounded_request *call;
 	GSource *timer;
-	bool failing; /* logged already */
+	bool failing; /* the outage is in the log already */
 };
 
 static void vm_list_client_poll(struct vm_list_client *client);
@@ -46,7 +46,7 @@
 	g_source_attach(client->timer, g_main_context_get_thread_default());
 }
 
-/* A long outage is one line in the log, not one for each poll. */
+/* Logs the first failure of an outage only, not one line for each poll. */
 static void vm_list_client_fail(struct vm_list_client *client,
 				const struct error *error)
 {
@@ -101,7 +101,7 @@
 	g_free(url);
 }
 
-/* Starts to poll; options and sink are copied. */
+/* Starts polling. Options and sink are copied; the log must outlive it. */
 struct vm_list_client *
 vm_list_client_create(const struct vm_list_client_options *options,
 		      const struct event_sink *sink)
@@ -118,7 +118,7 @@
 	return client;
 }
 
-/* Stops to poll; nothing is delivered any more. NULL is allowed. */
+/* Stops polling and frees the client; no event follows. NULL is allowed. */
 void vm_list_client_destroy(struct vm_list_client *client)
 {
 	if (!client)
--- a/adapters/vm_list_client.h
+++ b/adapters/vm_list_client.h
@@ -11,9 +11,9 @@
 G_BEGIN_DECLS
 
 /*
- * The platform's VM list, polled: GET /v1/vms answers
+ * Polls the platform's VM list. GET /v1/vms answers
  * {"vms":[{"address":"127.0.0.1:9001","state":"live"|"leaving"}, ...]}.
- * Delivers EVENT_VM_LIST for each answer that is well formed.
+ * Delivers EVENT_VM_LIST for each well-formed answer.
  */
 struct vm_list_client_options {
 	const char *address;
--- a/tests/kv_client_test.cc
+++ b/tests/kv_client_test.cc
@@ -15,7 +15,7 @@
 
 using answer = kv_recorded_answer;
 
-/* Answers every path below /v3 with whatever it is told to. */
+/* The answer of handle_raw to every request below /v3. */
 struct raw_answer {
 	unsigned status;
 	std::string text;
@@ -32,7 +32,7 @@
 class KvClient : public ::testing::Test, protected kv_recorder
 {
       protected:
-	struct fake_server *frame = nullptr;
+	struct fake_server *http_server = nullptr;
 	struct kv_server *server = nullptr;
 	struct kv_client *client = nullptr;
 	struct counters counters = {};
@@ -43,36 +43,36 @@
 		struct poptOption options[] = {POPT_TABLEEND};
 		const char *argv[] = {"fake_kv", nullptr};
 
-		frame = fake_server_create(1, argv, options);
-		ASSERT_NE(nullptr, frame);
+		http_server = fake_server_create(1, argv, options);
+		ASSERT_NE(nullptr, http_server);
 	}
 
 	void TearDown() override
 	{
 		kv_client_destroy(client);
 		settle();
-		fake_server_destroy(frame);
+		fake_server_destroy(http_server);
 		kv_server_destroy(server);
 		settle();
 	}
 
-	void start(int64_t max_value_bytes = 1 << 20, int64_t check_ms = 0)
+	void start(int64_t max_value_bytes = 1 << 20, int64_t resync_ms = 0)
 	{
 		struct kv_client_options options = {};
 		struct event_sink to = sink();
 
-		options.address = fake_server_address(frame);
+		options.address = fake_server_address(http_server);
 		options.max_value_bytes = max_value_bytes;
-		options.watch_check_ms = check_ms;
+		options.watch_resync_ms = resync_ms;
 		options.seed = 1;
 		options.counters = &counters;
 		client = kv_client_create(&options, &to);
 	}
 
-	void start_with_service(int64_t check_ms = 0)
+	void start_with_service(int64_t resync_ms = 0)
 	{
-		server = kv_server_create(frame);
-		start(1 << 20, check_ms);
+		server = kv_server_create(http_server);
+		start(1 << 20, resync_ms);
 	}
 
 	void apply(struct action *action)
@@ -127,7 +127,7 @@
 		apply(&action);
 	}
 
-	bool saw(const std::string &value)
+	bool wait_for_value(const std::string &value)
 	{
 		return run_until([&] {
 			return !changes.empty() &&
@@ -135,7 +135,7 @@
 		});
 	}
 
-	void expect_rising()
+	void expect_rising_revisions()
 	{
 		for (size_t i = 1; i < changes.size(); i++)
 			EXPECT_LT(changes[i - 1].revision, changes[i].revision);
@@ -204,10 +204,10 @@
 }
 
 /*
- * The service applies a write and the connection closes before its answer. The
- * caller sees "answer lost", neither success nor failure, and learns from a
- * read that its value stands. Were the write sent again below, it would be
- * answered as a conflict with itself, so the service must see it once.
+ * The service applies a write, and the connection closes before the answer. The
+ * outcome must be "answer lost", neither success nor failure, and a read then
+ * finds the value. If the HTTP library repeated the write, it would conflict
+ * with itself, so the service must receive it only once.
  */
 TEST_F(KvClient, AnswerLostAfterApplyingIsNotSentAgain)
 {
@@ -225,15 +225,15 @@
 
 /*
  * The service is down: it refuses the connection, or its gateway answers 503.
- * Only the first is certain not to have been applied; behind a gateway the
- * write may have been proposed before it gave up.
+ * Only in the first case is the write certainly not applied; a gateway may have
+ * proposed the write before it failed.
  */
 TEST_F(KvClient, DownIsNotAppliedOnlyIfNothingWasSent)
 {
 	start_with_service();
 	kv_server_modes(server)->down = true;
 	EXPECT_EQ(KV_ANSWER_LOST, call(KV_CAS, "mine", 0).outcome);
-	fake_server_destroy(frame);
+	fake_server_destroy(http_server);
 	kv_server_destroy(server);
 	server = nullptr;
 	EXPECT_EQ(KV_NOT_APPLIED, call(KV_CAS, "mine", 0).outcome);
@@ -241,8 +241,8 @@
 }
 
 /*
- * The service takes the request and never answers. The caller is told after
- * its time-out, and that the write may be applied.
+ * The service receives the request and never answers. After the timeout the
+ * caller must get an outcome that says that the write may have been applied.
  */
 TEST_F(KvClient, StalledServiceTimesOut)
 {
@@ -255,8 +255,8 @@
 }
 
 /*
- * A lease lapses while its holder is paused. Renewing it and writing under it
- * must then say so, or the holder would go on as if it held the lease.
+ * A lease expires while its holder is paused. Renewing it and writing under it
+ * must then fail, or the holder would continue as if it held the lease.
  */
 TEST_F(KvClient, LapsedLeaseIsNotFound)
 {
@@ -278,9 +278,9 @@
 }
 
 /*
- * The gateway answers with what is no answer: cut off, of wrong types, with
- * bad base64, or without end. A write is then in doubt, a read has failed, and
- * nothing of the text reaches the core.
+ * The gateway sends malformed answers: truncated, with wrong types, with
+ * invalid base64, or too large. A write is then in doubt, a read has failed,
+ * and none of the text reaches the core.
  */
 TEST_F(KvClient, MalformedAnswersAreErrors)
 {
@@ -300,7 +300,7 @@
 	};
 	struct raw_answer raw = {200, ""};
 
-	fake_server_add_handler(frame, "/v3", handle_raw, &raw);
+	fake_server_add_handler(http_server, "/v3", handle_raw, &raw);
 	start(1000);
 	for (const char *text : texts) {
 		raw.text = text;
@@ -324,7 +324,7 @@
 		     {504, KV_ANSWER_LOST}, {301, KV_ANSWER_LOST}};
 	struct raw_answer raw = {200, "{}"};
 
-	fake_server_add_handler(frame, "/v3", handle_raw, &raw);
+	fake_server_add_handler(http_server, "/v3", handle_raw, &raw);
 	start();
 	for (const auto &c : cases) {
 		raw.status = c.status;
@@ -336,22 +336,22 @@
 {
 	start_with_service();
 	watch();
-	EXPECT_TRUE(saw("(none)"));
+	EXPECT_TRUE(wait_for_value("(none)"));
 	put("one");
-	EXPECT_TRUE(saw("one"));
+	EXPECT_TRUE(wait_for_value("one"));
 	put("two");
-	EXPECT_TRUE(saw("two"));
+	EXPECT_TRUE(wait_for_value("two"));
 	kv_model_begin(kv_server_model(server));
 	kv_model_delete(kv_server_model(server), "/siskinlink/config", "");
 	kv_server_changed(server);
-	EXPECT_TRUE(saw("(none)"));
-	expect_rising();
+	EXPECT_TRUE(wait_for_value("(none)"));
+	expect_rising_revisions();
 }
 
 /*
- * The watch's connection breaks, again and again, and the service is away for
- * a while during which the key changes. The node sees the newest state in the
- * end and never an older one after a newer one.
+ * The connection of the watch breaks repeatedly, and the key changes while the
+ * service is down. The node must get the newest state eventually, and never an
+ * older state after a newer one.
  */
 TEST_F(KvClient, WatchSurvivesBrokenConnections)
 {
@@ -360,17 +360,17 @@
 	start_with_service();
 	revision = put("0");
 	watch();
-	EXPECT_TRUE(saw("0"));
+	EXPECT_TRUE(wait_for_value("0"));
 	for (int i = 1; i <= 3; i++) {
 		kv_server_modes(server)->down = true;
 		kv_server_modes(server)->close_watches = true;
 		revision = put(std::to_string(i).c_str());
 		settle();
 		kv_server_modes(server)->down = false;
-		EXPECT_TRUE(saw(std::to_string(i)));
+		EXPECT_TRUE(wait_for_value(std::to_string(i)));
 	}
 	EXPECT_EQ(revision, changes.back().revision);
-	expect_rising();
+	expect_rising_revisions();
 }
 
 /*
@@ -382,29 +382,29 @@
 	start_with_service(100);
 	put("old");
 	watch();
-	EXPECT_TRUE(saw("old"));
+	EXPECT_TRUE(wait_for_value("old"));
 	kv_server_modes(server)->watch_delay_ms = 3600 * 1000;
 	put("new");
-	EXPECT_TRUE(saw("new"));
-	expect_rising();
+	EXPECT_TRUE(wait_for_value("new"));
+	expect_rising_revisions();
 }
 
 /*
- * The service comes back from an old copy, with the key at an earlier revision
- * than was delivered. The node must not revert to it.
+ * The service is restored from an old backup, with the key at an earlier
+ * revision than the delivered one. The node must not revert to it.
  */
 TEST_F(KvClient, WatchNeverGoesBack)
 {
 	struct raw_answer raw = {200, ""};
 	uint64_t calls;
 
-	fake_server_add_handler(frame, "/v3", handle_raw, &raw);
+	fake_server_add_handler(http_server, "/v3", handle_raw, &raw);
 	raw.text = "{\"header\":{\"revision\":\"9\"},\"kvs\":[{\"key\":"
 		   "\"L3Npc2tpbmxpbmsvY29uZmln\",\"create_revision\":\"2\","
 		   "\"mod_revision\":\"8\",\"value\":\"bmV3\"}]}";
 	start(1000, 50);
 	watch();
-	EXPECT_TRUE(saw("new"));
+	EXPECT_TRUE(wait_for_value("new"));
 	raw.text = "{\"header\":{\"revision\":\"5\"},\"kvs\":[{\"key\":"
 		   "\"L3Npc2tpbmxpbmsvY29uZmln\",\"create_revision\":\"2\","
 		   "\"mod_revision\":\"4\",\"value\":\"b2xk\"}]}";
@@ -441,11 +441,11 @@
 				      "\"state\":\"gone\"}]}"};
 	struct vm_lists lists;
 	struct event_sink vm_sink = {deliver_vms, &lists};
-	struct vm_list_client_options options = {fake_server_address(frame), 10,
-						 1000, nullptr};
+	struct vm_list_client_options options = {
+		fake_server_address(http_server), 10, 1000, nullptr};
 	struct vm_list_client *vms;
 
-	fake_server_add_handler(frame, "/v1/vms", handle_raw, &raw);
+	fake_server_add_handler(http_server, "/v1/vms", handle_raw, &raw);
 	vms = vm_list_client_create(&options, &vm_sink);
 	for (int i = 0; i < 50; i++) {
 		g_main_context_iteration(nullptr, FALSE);
--- a/tests/log_output_test.cc
+++ b/tests/log_output_test.cc
@@ -7,9 +7,9 @@
 #include <unistd.h>
 
 /*
- * The reader of the log stops. The node must not wait for it: lines are kept
- * up to the bound, then dropped, and once the reader goes on it is told how
- * many are missing.
+ * The reader of the log stops reading. Writing must not block: lines are
+ * buffered up to the limit, then dropped, and once the reader continues, the
+ * log contains the number of dropped lines.
  */
 TEST(LogOutput, NeverWaitsForItsReader)
 {
--- a/tests/log_test.cc
+++ b/tests/log_test.cc
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-static std::string format(const std::vector<std::string> &words)
+static std::string format(const std::vector<std::string> &keys_and_values)
 {
 	GPtrArray *fields = g_ptr_array_new();
 
-	for (const std::string &word : words)
+	for (const std::string &word : keys_and_values)
 		g_ptr_array_add(fields, (gpointer)word.c_str());
 	char *line = log_format("call_end", fields);
 	std::string result(line);
@@ -27,9 +27,9 @@
 }
 
 /*
- * A caller names its organisation with a newline and a forged field. An
- * operator who reads the log must see one line, with the forged text inside
- * the quotes of the value it was sent in.
+ * A caller sends an organisation name with a newline and a forged field. The
+ * log must contain one line, with the forged text inside the quotes of its
+ * value.
  */
 TEST(Log, KeepsForgedLinesAndFieldsInsideTheirValue)
 {
@@ -49,12 +49,12 @@
 	EXPECT_LT(line.size(), 1200u);
 	EXPECT_NE(std::string::npos, line.find("...\""));
 
-	std::vector<std::string> words;
+	std::vector<std::string> keys_and_values;
 	for (int i = 0; i < 100; i++) {
-		words.push_back("key");
-		words.push_back(std::string(200, 'x'));
+		keys_and_values.push_back("key");
+		keys_and_values.push_back(std::string(200, 'x'));
 	}
-	line = format(words);
+	line = format(keys_and_values);
 	EXPECT_LT(line.size(), 4200u);
 	EXPECT_EQ(" cut=true", line.substr(line.size() - 9));
 }
--- a/tests/operations_page_test.cc
+++ b/tests/operations_page_test.cc
@@ -17,7 +17,7 @@
 	return text.str();
 }
 
-/* The page's list is the output of siskinlinkd --help-settings, pasted. */
+/* The page must contain each line of siskinlinkd --help-settings unchanged. */
 TEST(OperationsPage, ListsEverySettingAsItIs)
 {
 	std::string page = read_page();
--- a/tests/order_client_test.cc
+++ b/tests/order_client_test.cc
@@ -15,7 +15,7 @@
 	std::string seen;
 };
 
-void handle(void *data, SoupServerMessage *message, const char *path)
+void handle_order(void *data, SoupServerMessage *message, const char *path)
 {
 	struct engine *engine = (struct engine *)data;
 	GBytes *body = soup_message_body_flatten(
@@ -34,7 +34,7 @@
 class OrderClient : public ::testing::Test
 {
       protected:
-	struct fake_server *frame = nullptr;
+	struct fake_server *http_server = nullptr;
 	struct order_client *client = nullptr;
 	struct engine engine;
 	std::string address;
@@ -44,12 +44,13 @@
 	{
 		struct poptOption options[] = {POPT_TABLEEND};
 		const char *argv[] = {"fake_engine", nullptr};
-		struct event_sink sink = {deliver, this};
+		struct event_sink sink = {record_event, this};
 
-		frame = fake_server_create(1, argv, options);
-		ASSERT_NE(nullptr, frame);
-		address = fake_server_address(frame);
-		fake_server_add_handler(frame, "/v1/orders", handle, &engine);
+		http_server = fake_server_create(1, argv, options);
+		ASSERT_NE(nullptr, http_server);
+		address = fake_server_address(http_server);
+		fake_server_add_handler(http_server, "/v1/orders", handle_order,
+					&engine);
 		client = order_client_create(nullptr, &sink);
 	}
 
@@ -58,10 +59,10 @@
 		order_client_destroy(client);
 		for (int i = 0; i < 1000; i++)
 			g_main_context_iteration(nullptr, FALSE);
-		fake_server_destroy(frame);
+		fake_server_destroy(http_server);
 	}
 
-	static void deliver(void *data, const struct event *event)
+	static void record_event(void *data, const struct event *event)
 	{
 		static const char *const names[] = {"taken", "stale", "refused",
 						    "lost"};
--- a/tests/peer_link_test.cc
+++ b/tests/peer_link_test.cc
@@ -18,7 +18,7 @@
 		options.address = "127.0.0.1:0";
 		options.max_record_bytes = 65536;
 		options.counters = &counters;
-		sink.deliver = take;
+		sink.deliver = record_event;
 		sink.data = this;
 		link = peer_link_create(&options, &sink, &error);
 		ASSERT_NE(nullptr, link) << error.detail;
@@ -29,7 +29,7 @@
 		peer_link_destroy(link);
 	}
 
-	static void take(void *data, const struct event *event)
+	static void record_event(void *data, const struct event *event)
 	{
 		auto *test = static_cast<PeerLink *>(data);
 
@@ -88,7 +88,7 @@
 		EXPECT_EQ(i, numbers[i]);
 	EXPECT_LT(200u * 30, counters.value[COUNTER_PEER_BYTES_SENT]);
 
-	/* Sent from the loop, one by one, each on an edge of its own. */
+	/* Each record is received before the next one: one edge for each. */
 	for (uint64_t i = 0; i < 50; i++) {
 		send(address, i);
 		run_until([=] { return numbers.size() > 200 + i; });
@@ -97,8 +97,9 @@
 }
 
 /*
- * A peer is gone and nobody listens at its address. The loop must not wait:
- * records queue up to a bound, then they are dropped, and the node goes on.
+ * A peer is gone and its address refuses connections. Sending must not block:
+ * records are queued up to a limit, further ones are dropped, and the node
+ * continues.
  */
 TEST_F(PeerLink, NeverBlocksOnAPeerThatIsGone)
 {
@@ -109,7 +110,7 @@
 	EXPECT_GT(1000000, g_get_monotonic_time() - start_us);
 	EXPECT_GT(5000u * 30, counters.value[COUNTER_PEER_BYTES_SENT]);
 	send("not an address", 1);
-	/* No port here is ever given out by the system. */
+	/* The system never assigns port 1 as a free port. */
 	for (int i = 0; i < 600; i++)
 		send(("127.9." + std::to_string(i / 200) + "." +
 		      std::to_string(i % 200 + 1) + ":1")
@@ -122,9 +123,9 @@
 }
 
 /*
- * Something that is not a node connects and sends garbage, records over the
- * limit and several frames at once. Each is counted and dropped, and records
- * of nodes still arrive.
+ * A client that is not a node connects and sends garbage, a record that exceeds
+ * the size limit and a message of several frames. Each must be counted and
+ * dropped, and records of nodes must still arrive.
  */
 TEST_F(PeerLink, CountsAndDropsGarbage)
 {
@@ -151,7 +152,7 @@
 	run_until([this] { return !numbers.empty(); });
 	EXPECT_EQ(1u, numbers.size());
 
-	/* Far over the limit: not even read, the connection is closed. */
+	/* Exceeds ZMQ_MAXMSGSIZE: closed without being read or counted. */
 	large.resize(400000, 'x');
 	zmq_send(socket, large.data(), large.size(), 0);
 	send(peer_link_address(link), 6);
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -32,7 +32,7 @@
 	return settings;
 }
 
-static std::string failure(const std::string &text)
+static std::string load_error(const std::string &text)
 {
 	struct error error;
 	struct settings *settings = load(text, &error);
@@ -45,8 +45,8 @@
 	return error.detail;
 }
 
-static std::string with(const std::string &old_text,
-			const std::string &new_text)
+static std::string minimal_with(const std::string &old_text,
+				const std::string &new_text)
 {
 	std::string text = minimal;
 
@@ -92,54 +92,58 @@
 {
 	EXPECT_EQ("line 11: unknown key colour in [platform], expected one "
 		  "that --help-settings lists",
-		  failure(std::string(minimal) + "colour = 1\n"));
+		  load_error(std::string(minimal) + "colour = 1\n"));
 	EXPECT_EQ("line 11: unknown section [extra], expected one of [node], "
 		  "[keys], [platform], [gateway], [policy], [limits], "
 		  "[times], [log]",
-		  failure(std::string(minimal) + "[extra]\n"));
+		  load_error(std::string(minimal) + "[extra]\n"));
 	EXPECT_EQ("line 11: unknown section [times.deep], expected one of "
 		  "[node], [keys], [platform], [gateway], [policy], "
 		  "[limits], [times], [log]",
-		  failure(std::string(minimal) + "[times.deep]\na = 1\n"));
+		  load_error(std::string(minimal) + "[times.deep]\na = 1\n"));
 	EXPECT_EQ("line 12: [times] heartbeat_ms: wrong type, expected an "
 		  "integer from 50 to 60000",
-		  failure(std::string(minimal) +
-			  "[times]\nheartbeat_ms = \"1s\"\n"));
-	EXPECT_EQ("line 12: [times] heartbeat_ms: out of range, expected an "
-		  "integer from 50 to 60000",
-		  failure(std::string(minimal) + "[times]\nheartbeat_ms=9\n"));
+		  load_error(std::string(minimal) +
+			     "[times]\nheartbeat_ms = \"1s\"\n"));
+	EXPECT_EQ(
+		"line 12: [times] heartbeat_ms: out of range, expected an "
+		"integer from 50 to 60000",
+		load_error(std::string(minimal) + "[times]\nheartbeat_ms=9\n"));
 	EXPECT_EQ("[node] name: missing, expected 1 to 63 letters, digits, "
 		  "'_', '.' or '-'",
-		  failure(with("name = \"n1\"\n", "")));
-	EXPECT_EQ("line 12: [log] level: unknown value, expected one of "
-		  "\"info\", \"warn\", \"error\"",
-		  failure(std::string(minimal) + "[log]\nlevel = \"all\"\n"));
+		  load_error(minimal_with("name = \"n1\"\n", "")));
+	EXPECT_EQ(
+		"line 12: [log] level: unknown value, expected one of "
+		"\"info\", \"warn\", \"error\"",
+		load_error(std::string(minimal) + "[log]\nlevel = \"all\"\n"));
 	EXPECT_EQ("line 5: [node] http_address: out of range, expected "
 		  "IP:PORT with a port from 1 to 65535",
-		  failure(with("127.0.0.1:8080", "localhost:8080")));
+		  load_error(minimal_with("127.0.0.1:8080", "localhost:8080")));
 }
 
 TEST(Settings, RefusesDuplicateAddresses)
 {
 	EXPECT_EQ("peer_address: duplicate address 127.0.0.1:8080, expected "
 		  "one other than http_address",
-		  failure(with("127.0.0.1:8090", "127.0.0.1:8080")));
+		  load_error(minimal_with("127.0.0.1:8090", "127.0.0.1:8080")));
 	EXPECT_EQ("kv_address: duplicate address 127.0.0.1:8090, expected one "
 		  "other than peer_address",
-		  failure(with("127.0.0.1:2379", "127.0.0.1:8090")));
+		  load_error(minimal_with("127.0.0.1:2379", "127.0.0.1:8090")));
 	EXPECT_EQ("line 7: [node] seeds: duplicate address, expected a list of "
 		  "at most 64 IP:PORT",
-		  failure(with("[keys]", "seeds = [\"[::1]:1\", \"[::1]:1\"]\n"
-					 "[keys]")));
+		  load_error(minimal_with("[keys]",
+					  "seeds = [\"[::1]:1\", \"[::1]:1\"]\n"
+					  "[keys]")));
 }
 
 /*
- * An operator mistypes a secret; the error goes to the log and to a ticket.
- * It must name the key, never the value.
+ * The error for an invalid secret is logged and copied into tickets, so it must
+ * name the key and never contain the value.
  */
 TEST(Settings, NeverShowsASecret)
 {
-	std::string text = failure(with("0123456789abcdef", "hunter2"));
+	std::string text =
+		load_error(minimal_with("0123456789abcdef", "hunter2"));
 
 	EXPECT_EQ("line 8: [keys] event_key: out of range, expected a string "
 		  "of 16 to 256 bytes",
@@ -148,14 +152,14 @@
 
 TEST(Settings, RefusesWhatIsNotTomlOnOneLine)
 {
-	EXPECT_EQ(0u, failure("[node\nname").find("line 1: not TOML"));
-	EXPECT_EQ(0u, failure(std::string(minimal) + "kv_address = 1\n")
+	EXPECT_EQ(0u, load_error("[node\nname").find("line 1: not TOML"));
+	EXPECT_EQ(0u, load_error(std::string(minimal) + "kv_address = 1\n")
 			      .find("line 11: not TOML"));
-	failure(std::string("\0\xff\xfe", 3));
-	EXPECT_EQ(0u, failure(std::string(minimal) + "\xd1\xbf = 1\n")
+	load_error(std::string("\0\xff\xfe", 3));
+	EXPECT_EQ(0u, load_error(std::string(minimal) + "\xd1\xbf = 1\n")
 			      .find("line 11: not TOML"));
-	failure(std::string(100000, '['));
-	failure(std::string(2 << 20, ' '));
+	load_error(std::string(100000, '['));
+	load_error(std::string(2 << 20, ' '));
 	struct error error;
 	EXPECT_EQ(nullptr, settings_load("/nonexistent.toml", &error));
 	EXPECT_EQ(ERROR_UNREACHABLE, error.code);
