--- a/fakes/engine_admin.c
+++ b/fakes/engine_admin.c
@@ -5,11 +5,11 @@
 #include <string.h>
 
 /*
- * What homes and operators ask the fake engine beside completions: its load,
- * its prefix cache and its target.
+ * The fake engine's HTTP handlers for homes and operators: load metrics,
+ * prefix cache events, and orders that set the engine's target.
  */
 
-/* GET /metrics */
+/* Handles GET /metrics: the load as the model reports it. */
 void fake_engine_metrics(void *data, SoupServerMessage *message,
 			 const char *path G_GNUC_UNUSED)
 {
@@ -31,7 +31,7 @@
 	fake_message_answer_metrics(message, metrics, G_N_ELEMENTS(metrics));
 }
 
-/* GET /v1/cache_events?after=N */
+/* Handles GET /v1/cache_events?after=N: events with a number above N. */
 void fake_engine_cache_events(void *data, SoupServerMessage *message,
 			      const char *path G_GNUC_UNUSED)
 {
@@ -64,7 +64,10 @@
 	fake_message_answer_json(message, 200, builder);
 }
 
-/* Generations that an order would cut: still made, or not yet read out. */
+/*
+ * Generations that applying an order would interrupt: those waiting or
+ * running, and those whose reader has not received the complete answer.
+ */
 static int64_t engine_count_running(const struct fake_engine *engine)
 {
 	int64_t count = 0;
@@ -77,7 +80,7 @@
 
 		count += stream->state == ENGINE_STREAM_WAITING ||
 			 stream->state == ENGINE_STREAM_RUNNING ||
-			 (stream->reader && !stream->ended);
+			 (stream->reader && !stream->response_complete);
 	}
 	return count;
 }
@@ -95,7 +98,10 @@
 	fake_message_answer_json(message, status, builder);
 }
 
-/* GET reads the target back, POST sets it; 409 for an old fencing number. */
+/*
+ * Handles /v1/orders: GET returns the target, POST sets it. A POST with an
+ * outdated fencing number is answered with 409.
+ */
 void fake_engine_orders(void *data, SoupServerMessage *message,
 			const char *path G_GNUC_UNUSED)
 {
@@ -112,7 +118,7 @@
 	if (!body)
 		return;
 	target = json_object_get_string_member_with_default(body, "target", "");
-	outcome = engine_model_order(
+	outcome = engine_model_set_target(
 		engine->model,
 		json_object_get_int_member_with_default(body, "fence", 0),
 		target);
--- a/fakes/engine_completion.c
+++ b/fakes/engine_completion.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define DEFAULT_MAX_TOKENS 16384 /* where the caller names no bound */
+#define DEFAULT_MAX_TOKENS 16384 /* if the request has no max_tokens */
 
 static void prompt_add(GString *prompt, JsonNode *node)
 {
@@ -29,7 +29,11 @@
 	}
 }
 
-/* False where there is no prompt, or no token is wanted. */
+/*
+ * Reads a completion from the body of a request to path. Returns false if it
+ * has no prompt or max_tokens is not positive. Either way the caller clears
+ * the completion.
+ */
 bool engine_completion_read(struct engine_completion *completion,
 			    const char *path, JsonObject *body)
 {
@@ -43,7 +47,7 @@
 	return completion->prompt->len && completion->max_tokens > 0;
 }
 
-/* Frees what the completion holds, not the struct itself. */
+/* Frees the members of the completion, but not the struct itself. */
 void engine_completion_clear(struct engine_completion *completion)
 {
 	g_string_free(completion->prompt, TRUE);
--- a/fakes/engine_completion.h
+++ b/fakes/engine_completion.h
@@ -8,7 +8,7 @@
 
 G_BEGIN_DECLS
 
-/* A completion as the caller asked for it. */
+/* A parsed completion or chat completion request. */
 struct engine_completion {
 	GString *prompt;
 	int64_t max_tokens;
--- a/fakes/engine_model.c
+++ b/fakes/engine_model.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 /*
- * An engine of 60,000 tokens whose steps take 16 ms when it is full and 29 ms
- * when it reads a prompt besides.
+ * Sets the options of an engine with memory for 60,000 tokens. A step takes
+ * 16 ms when memory is full, and 29 ms if it also reads a part of a prompt.
  */
 void engine_model_options_default(struct engine_model_options *options)
 {
@@ -22,7 +22,10 @@
 	options->seed = 1;
 }
 
-/* Higher priority first, then who came first, also when preempted since. */
+/*
+ * Orders by descending priority, then by arrival. A preempted generation keeps
+ * its arrival order.
+ */
 static gint generation_compare(gconstpointer a, gconstpointer b,
 			       gpointer data G_GNUC_UNUSED)
 {
@@ -34,7 +37,7 @@
 	return x->arrival < y->arrival ? -1 : x->arrival > y->arrival;
 }
 
-/* An idle engine; its memory and its prefix cache are empty. */
+/* Creates an idle engine with empty memory and an empty prefix cache. */
 struct engine_model *
 engine_model_create(const struct engine_model_options *options)
 {
@@ -45,24 +48,25 @@
 						    NULL, g_free);
 	engine->waiting = g_sequence_new(NULL);
 	engine->running = g_ptr_array_new();
-	engine->ready = g_array_new(FALSE, FALSE, sizeof(struct engine_output));
+	engine->pending_outputs =
+		g_array_new(FALSE, FALSE, sizeof(struct engine_output));
 	engine->step_end_us = NEVER;
 	engine->slowdown = 1;
-	engine->random = options->seed;
+	engine->random_state = options->seed;
 	engine->cache = prefix_cache_create(options->prefix_cache_tokens);
-	engine->loads = load_history_create(options->load_lag_us);
+	engine->recorded_loads = load_history_create(options->load_lag_us);
 	engine->target = g_strdup("");
 	return engine;
 }
 
-/* Frees the engine and all generations; NULL is allowed. */
+/* Frees the engine and all its generations. The engine may be NULL. */
 void engine_model_destroy(struct engine_model *engine)
 {
 	if (!engine)
 		return;
-	load_history_destroy(engine->loads);
+	load_history_destroy(engine->recorded_loads);
 	prefix_cache_destroy(engine->cache);
-	g_array_unref(engine->ready);
+	g_array_unref(engine->pending_outputs);
 	g_ptr_array_unref(engine->running);
 	g_sequence_free(engine->waiting);
 	g_hash_table_unref(engine->generations);
@@ -70,7 +74,7 @@
 	g_free(engine);
 }
 
-/* Tells the shell of one generation; see engine_model_step. */
+/* Queues an output for the next engine_model_step to return. */
 void engine_add_output(struct engine_model *engine,
 		       enum engine_output_type type, const struct generation *g,
 		       int64_t at_us)
@@ -78,12 +82,12 @@
 	struct engine_output output = {
 		.type = type,
 		.id = g->request.id,
-		.first_token = g->made,
-		.token_count = type == ENGINE_TOKENS, /* a step makes one */
+		.first_token = g->generated_tokens,
+		.token_count = type == ENGINE_TOKENS, /* one per step */
 		.at_us = at_us,
 	};
 
-	g_array_append_val(engine->ready, output);
+	g_array_append_val(engine->pending_outputs, output);
 }
 
 static void engine_read_load(const struct engine_model *engine,
@@ -98,59 +102,68 @@
 	load->leaving = engine->leaving;
 }
 
-/* Keeps the load as it is now, for reports of later. */
-void engine_keep_load(struct engine_model *engine, int64_t now_us)
+/* Adds the current load to the history that later load reports read. */
+void engine_record_load(struct engine_model *engine, int64_t now_us)
 {
 	struct load_report load = {0};
 
 	engine_read_load(engine, &load);
-	load_history_add(engine->loads, &load, now_us);
+	load_history_add(engine->recorded_loads, &load, now_us);
 }
 
-/* Queues a generation for a place in the batch. */
-void generation_wait(struct engine_model *engine, struct generation *g)
+/* Adds a generation to the queue for the batch. */
+void generation_enqueue(struct engine_model *engine, struct generation *g)
 {
 	g->waiting = g_sequence_insert_sorted(engine->waiting, g,
 					      generation_compare, NULL);
 }
 
-/* Frees a generation and the memory it holds. */
-void generation_forget(struct engine_model *engine, struct generation *g)
+/*
+ * Frees a generation and releases its memory. The caller takes it out of the
+ * queue or the batch.
+ */
+void generation_remove(struct engine_model *engine, struct generation *g)
 {
-	engine->used_tokens -= g->held;
+	engine->used_tokens -= g->resident_tokens;
 	g_hash_table_remove(engine->generations, &g->request.id);
 }
 
 /*
- * Queues a request. The output is cut to what fits beside the prompt, as an
- * engine's longest context would. False, and nothing runs, where the engine
- * is crashed or leaving, the id is known, or the prompt alone does not fit.
+ * Queues a request. The output length is clamped to the memory left beside
+ * the prompt, as the maximum context length of a real engine limits it. Returns
+ * false without queueing it if the engine has crashed or is leaving, the id is
+ * in use, or the prompt is empty or leaves no room for an output token.
  */
 bool engine_model_submit(struct engine_model *engine,
 			 const struct engine_model_request *request,
 			 int64_t now_us)
 {
-	int64_t room = engine->options.capacity_tokens - request->prompt_tokens;
+	int64_t max_output_tokens =
+		engine->options.capacity_tokens - request->prompt_tokens;
 	struct generation *g;
 
 	engine_advance(engine, now_us);
 	if (engine->crashed || engine->leaving || request->prompt_tokens < 1 ||
-	    room < 1 ||
+	    max_output_tokens < 1 ||
 	    g_hash_table_contains(engine->generations, &request->id))
 		return false;
 	g = g_new0(struct generation, 1);
 	g->request = *request;
-	g->request.output_tokens = CLAMP(request->output_tokens, 1, room);
+	g->request.output_tokens =
+		CLAMP(request->output_tokens, 1, max_output_tokens);
 	g->arrival = engine->arrivals++;
 	g_hash_table_insert(engine->generations, &g->request.id, g);
-	generation_wait(engine, g);
+	generation_enqueue(engine, g);
 	if (engine->step_end_us == NEVER)
 		engine_begin_step(engine, now_us);
-	engine_keep_load(engine, now_us);
+	engine_record_load(engine, now_us);
 	return true;
 }
 
-/* Ends a generation and frees its memory at once; false: unknown. */
+/*
+ * Ends a generation and releases its memory at once. Returns false if the id
+ * is unknown.
+ */
 bool engine_model_cancel(struct engine_model *engine, uint64_t id,
 			 int64_t now_us)
 {
@@ -164,38 +177,53 @@
 		g_sequence_remove(g->waiting);
 	else
 		g_ptr_array_remove(engine->running, g);
-	generation_forget(engine, g);
-	engine_keep_load(engine, now_us);
+	generation_remove(engine, g);
+	engine_record_load(engine, now_us);
 	return true;
 }
 
-/* Output tokens made so far; -1 once it is done, cancelled or lost. */
+/*
+ * Returns the number of output tokens so far, or -1 if the id is unknown or
+ * its generation is done, cancelled or lost.
+ */
 int64_t engine_model_token_count(const struct engine_model *engine, uint64_t id)
 {
 	const struct generation *g =
 		g_hash_table_lookup(engine->generations, &id);
 
-	return g ? g->made : -1;
+	return g ? g->generated_tokens : -1;
 }
 
+/*
+ * Runs the model to now_us and appends the outputs since the last call, as
+ * struct engine_output, in order of time.
+ */
 void engine_model_step(struct engine_model *engine, int64_t now_us,
 		       GArray *outputs)
 {
 	engine_advance(engine, now_us);
-	g_array_append_vals(outputs, engine->ready->data, engine->ready->len);
-	g_array_set_size(engine->ready, 0);
+	g_array_append_vals(outputs, engine->pending_outputs->data,
+			    engine->pending_outputs->len);
+	g_array_set_size(engine->pending_outputs, 0);
 }
 
-/* When the step under way ends; INT64_MAX while there is nothing to do. */
+/*
+ * Returns when the next output is due: the time of the oldest output not yet
+ * returned, else the end of the current step, or INT64_MAX if idle.
+ */
 int64_t engine_model_next_due_us(const struct engine_model *engine)
 {
-	if (engine->ready->len)
-		return g_array_index(engine->ready, struct engine_output, 0)
+	if (engine->pending_outputs->len)
+		return g_array_index(engine->pending_outputs,
+				     struct engine_output, 0)
 			.at_us;
 	return engine->step_end_us;
 }
 
-/* Everything held is gone; each generation gets one ENGINE_FAILED. */
+/*
+ * Crashes the engine: all generations and the prefix cache are lost. Appends
+ * the outputs up to now_us and one ENGINE_FAILED per generation.
+ */
 void engine_model_crash(struct engine_model *engine, int64_t now_us,
 			GArray *outputs)
 {
@@ -222,22 +250,23 @@
 }
 
 /*
- * A new process in the old one's place: no load, no target, the counter of
- * preemptions at zero. The highest fencing number outlives the crash.
+ * Restarts a crashed engine as a new process: no load, no target, and the
+ * reported preemption counter at zero. The highest fencing number is kept
+ * over the crash.
  */
 void engine_model_restart(struct engine_model *engine, int64_t now_us)
 {
 	engine->crashed = false;
 	engine->leaving = false;
 	engine->stalled_until_us = 0;
-	load_history_clear(engine->loads);
+	load_history_clear(engine->recorded_loads);
 	engine->preemptions_at_restart = engine->totals.preemptions;
 	g_free(engine->target);
 	engine->target = g_strdup("");
-	engine_keep_load(engine, now_us);
+	engine_record_load(engine, now_us);
 }
 
-/* No step ends before until_us. */
+/* Stalls the engine: no step ends before until_us. */
 void engine_model_stall(struct engine_model *engine, int64_t until_us)
 {
 	engine->stalled_until_us = MAX(engine->stalled_until_us, until_us);
@@ -245,19 +274,22 @@
 		engine->step_end_us = MAX(engine->step_end_us, until_us);
 }
 
-/* A leaving engine takes nothing new and finishes what it has. */
+/* A leaving engine rejects new requests and finishes those it has. */
 void engine_model_set_leaving(struct engine_model *engine, bool leaving)
 {
 	engine->leaving = leaving;
 }
 
-/* From the next step on, steps take factor times as long. */
+/* Multiplies the duration of steps by factor, from the next step on. */
 void engine_model_set_slowdown(struct engine_model *engine, double factor)
 {
 	engine->slowdown = factor;
 }
 
-/* The load as it was load_lag_us ago; before there was any, an empty one. */
+/*
+ * Reports the load as it was load_lag_us ago, or an empty load if none was
+ * recorded by then.
+ */
 void engine_model_report(const struct engine_model *engine, int64_t now_us,
 			 struct load_report *report)
 {
@@ -268,11 +300,11 @@
 	if (engine->options.load_lag_us <= 0)
 		engine_read_load(engine, report);
 	else
-		load_history_find(engine->loads, then_us, report);
+		load_history_find(engine->recorded_loads, then_us, report);
 	report->reported_at_us = then_us;
 }
 
-/* What entered or left the prefix cache: see prefix_cache_events. */
+/* Appends the prefix cache events after a number; see prefix_cache_events. */
 void engine_model_cache_events(const struct engine_model *engine, int64_t after,
 			       GArray *events)
 {
@@ -280,27 +312,32 @@
 }
 
 /*
- * Sets the target state. An engine that checks refuses a number below the
- * highest it has seen; one that does not takes every order.
+ * Sets the target that an order carries. With checks_fence, an order whose
+ * fencing number is below the highest one seen is rejected as stale; without
+ * it, every order is accepted.
  */
-enum engine_order_outcome engine_model_order(struct engine_model *engine,
-					     int64_t fence, const char *target)
+enum engine_order_outcome engine_model_set_target(struct engine_model *engine,
+						  int64_t fence,
+						  const char *target)
 {
 	if (engine->options.checks_fence && fence < engine->highest_fence)
 		return ENGINE_ORDER_STALE;
 	engine->highest_fence = MAX(engine->highest_fence, fence);
 	g_free(engine->target);
 	engine->target = g_strdup(target);
-	return ENGINE_ORDER_DONE;
+	return ENGINE_ORDER_ACCEPTED;
 }
 
-/* What the engine was last ordered to be; "" before any order. */
+/*
+ * Returns the target of the last accepted order, or "" if there was none
+ * since the engine started. The engine owns the string.
+ */
 const char *engine_model_target(const struct engine_model *engine)
 {
 	return engine->target;
 }
 
-/* Counted since creation, over restarts. */
+/* Returns the counters since creation; restarts do not reset them. */
 const struct engine_totals *
 engine_model_totals(const struct engine_model *engine)
 {
--- a/fakes/engine_model.h
+++ b/fakes/engine_model.h
@@ -11,40 +11,41 @@
 G_BEGIN_DECLS
 
 /*
- * A model engine in virtual time: continuous batching in steps, a memory
- * counted in tokens, preemption by recompute when it is full, priorities, a
- * prefix cache, resume and cancel, a lagging load report, crash and stall,
- * and orders with or without a fencing check. Pure: time comes with each
- * call. The fake engine's daemon and the benches are shells around it.
+ * Simulates a model engine in virtual time: continuous batching in steps,
+ * memory counted in tokens, preemption by recomputation when memory is full,
+ * priorities, a prefix cache, cancellation, a delayed load report, crash and
+ * stall, and orders with or without a fencing check. The model does no
+ * I/O and reads no clock: the caller passes the time to each call. The fake
+ * engine's daemon and the benches are such callers.
  */
 struct engine_model_options {
 	int64_t capacity_tokens;
 	int32_t max_batch;
 	int64_t step_base_us;	       /* a decode step with an empty batch */
-	int64_t step_per_request_us;   /* added for each request decoded */
-	int64_t step_per_kilotoken_us; /* added per 1,000 tokens held */
+	int64_t step_per_request_us;   /* added per request decoded */
+	int64_t step_per_kilotoken_us; /* added per 1,000 tokens in memory */
 	int64_t prefill_tokens_per_s;
-	int64_t prefill_chunk_tokens; /* prompt tokens read in one step */
+	int64_t prefill_chunk_tokens; /* prompt tokens per step */
 	int64_t prefix_cache_tokens;
-	int64_t load_lag_us;
-	bool checks_fence;
+	int64_t load_lag_us; /* age of the reported load */
+	bool checks_fence;   /* rejects orders with an old fencing number */
 	uint64_t seed;
 };
 
 struct engine_model_request {
-	uint64_t id; /* chosen by the shell, unique */
+	uint64_t id; /* unique, assigned by the caller */
 	int64_t prompt_tokens;
-	int64_t output_tokens; /* true length */
-	int32_t priority;      /* higher first; lowest is preempted first */
+	int64_t output_tokens; /* actual length of the output */
+	int32_t priority; /* higher runs first; lowest is preempted first */
 	uint64_t prefix_hash;
 	int64_t prefix_tokens;
 };
 
 enum engine_output_type {
-	ENGINE_TOKENS, /* token_count tokens from first_token on */
+	ENGINE_TOKENS, /* token_count tokens starting at first_token */
 	ENGINE_DONE,
-	ENGINE_PREEMPTED, /* will be recomputed: the shell sends nothing */
-	ENGINE_FAILED	  /* crash: the generation is gone */
+	ENGINE_PREEMPTED, /* will be recomputed; nothing to send */
+	ENGINE_FAILED	  /* lost in a crash */
 };
 
 struct engine_output {
@@ -60,10 +61,10 @@
 	int64_t recomputed_tokens;
 	int64_t decoded_tokens;
 	int64_t steps;
-	int64_t started; /* requests that ran: their first token was made */
+	int64_t started; /* requests whose first token was generated */
 };
 
-enum engine_order_outcome { ENGINE_ORDER_DONE, ENGINE_ORDER_STALE };
+enum engine_order_outcome { ENGINE_ORDER_ACCEPTED, ENGINE_ORDER_STALE };
 
 struct engine_model;
 
@@ -74,13 +75,12 @@
 
 bool engine_model_submit(struct engine_model *engine,
 			 const struct engine_model_request *request,
-			 int64_t now_us); /* false: crashed or leaving */
+			 int64_t now_us);
 bool engine_model_cancel(struct engine_model *engine, uint64_t id,
 			 int64_t now_us);
 int64_t engine_model_token_count(const struct engine_model *engine,
-				 uint64_t id); /* made so far; -1: unknown */
+				 uint64_t id);
 
-/* Runs to now_us and appends struct engine_output in order of time. */
 void engine_model_step(struct engine_model *engine, int64_t now_us,
 		       GArray *outputs);
 int64_t engine_model_next_due_us(const struct engine_model *engine);
@@ -96,8 +96,9 @@
 			 struct load_report *report);
 void engine_model_cache_events(const struct engine_model *engine, int64_t after,
 			       GArray *events);
-enum engine_order_outcome engine_model_order(struct engine_model *engine,
-					     int64_t fence, const char *target);
+enum engine_order_outcome engine_model_set_target(struct engine_model *engine,
+						  int64_t fence,
+						  const char *target);
 const char *engine_model_target(const struct engine_model *engine);
 const struct engine_totals *
 engine_model_totals(const struct engine_model *engine);
--- a/fakes/engine_runs.c
+++ b/fakes/engine_runs.c
@@ -14,13 +14,16 @@
 	g_free(run);
 }
 
-/* An empty list of struct engine_run, which frees what it holds. */
+/* Creates an empty list that owns its elements, struct engine_run. */
 GPtrArray *engine_runs_create(void)
 {
 	return g_ptr_array_new_with_free_func(run_destroy);
 }
 
-/* Names the run's generation by its place in the list and by the seed. */
+/*
+ * Adds a run to the list, which owns it. The generation is named after the
+ * run's position in the list and the seed. request_id may be NULL.
+ */
 struct engine_run *engine_runs_add(GPtrArray *runs, const char *request_id,
 				   const char *prompt, uint64_t seed)
 {
@@ -47,7 +50,7 @@
 	json_builder_end_object(builder);
 }
 
-/* The list as JSON, in order. */
+/* Returns the list as a JSON array, oldest run first. The caller owns it. */
 JsonBuilder *engine_runs_describe(const GPtrArray *runs)
 {
 	JsonBuilder *builder = json_builder_new();
--- a/fakes/engine_runs.h
+++ b/fakes/engine_runs.h
@@ -9,7 +9,7 @@
 
 G_BEGIN_DECLS
 
-/* A run as GET /fake/runs lists it; it outlives its generation. */
+/* An entry of GET /fake/runs. It is kept after its generation has ended. */
 struct engine_run {
 	char *request_id;
 	char *prompt_head;
--- a/fakes/engine_step.c
+++ b/fakes/engine_step.c
@@ -1,25 +1,26 @@
 #include "fakes/engine_model_state.h"
 
 /*
- * The steps of the model: in each, what runs gets a token or a part of its
- * prompt read; between them, what waits is admitted and what no longer fits
- * is preempted.
+ * The steps of the model. In each step, a running generation emits a token or
+ * has a part of its prompt read. Between steps, waiting generations are
+ * admitted, and running ones are preempted if they no longer fit in memory.
  */
 
-#define WATERMARK_DIVISOR 100 /* room kept free when a request is admitted */
-#define JITTER_PERCENT 3      /* of a step's time, either way */
+/* 1/100 of the memory is kept free when a request is admitted. */
+#define ADMISSION_RESERVE_DIVISOR 100
+#define JITTER_PERCENT 3 /* of a step's duration, in both directions */
 
 /* splitmix64, see Steele, Lea and Flood, 2014. */
 static uint64_t engine_random(struct engine_model *engine)
 {
-	uint64_t z = engine->random += 0x9e3779b97f4a7c15;
+	uint64_t z = engine->random_state += 0x9e3779b97f4a7c15;
 
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9;
 	z = (z ^ (z >> 27)) * 0x94d049bb133111eb;
 	return z ^ (z >> 31);
 }
 
-/* Prompt tokens that need not be computed; at least one always is. */
+/* Prompt tokens found in the prefix cache; at least one is always computed. */
 static int64_t engine_cached_tokens(const struct engine_model *engine,
 				    const struct engine_model_request *request)
 {
@@ -33,29 +34,32 @@
 {
 	g_sequence_remove(g->waiting);
 	g->waiting = NULL;
-	g->held = g->request.prompt_tokens + g->made;
-	g->prefill_left = g->held - engine_cached_tokens(engine, &g->request);
+	g->resident_tokens = g->request.prompt_tokens + g->generated_tokens;
+	g->prefill_remaining =
+		g->resident_tokens - engine_cached_tokens(engine, &g->request);
 	if (g->preempted)
-		engine->totals.recomputed_tokens += g->prefill_left;
-	engine->used_tokens += g->held;
+		engine->totals.recomputed_tokens += g->prefill_remaining;
+	engine->used_tokens += g->resident_tokens;
 	g_ptr_array_add(engine->running, g);
 }
 
 /*
- * Admits waiting requests in order while the next one's prompt, and what it
- * had made before it was preempted, fit. A small reserve is kept free for
- * what runs, but never from a request that would run alone.
+ * Admits waiting requests in order as long as the next one fits in memory with
+ * its prompt and the tokens it generated before a preemption. A small reserve
+ * is kept free so that running requests can grow; a request that would run
+ * alone may use the reserve.
  */
 static void engine_admit(struct engine_model *engine)
 {
 	int64_t capacity = engine->options.capacity_tokens;
-	int64_t limit = capacity - capacity / WATERMARK_DIVISOR;
+	int64_t limit = capacity - capacity / ADMISSION_RESERVE_DIVISOR;
 
 	while (!g_sequence_is_empty(engine->waiting) &&
 	       (int32_t)engine->running->len < engine->options.max_batch) {
 		struct generation *g = g_sequence_get(
 			g_sequence_get_begin_iter(engine->waiting));
-		int64_t need = g->request.prompt_tokens + g->made + 1;
+		int64_t need =
+			g->request.prompt_tokens + g->generated_tokens + 1;
 
 		if (engine->running->len && engine->used_tokens + need > limit)
 			return;
@@ -63,7 +67,10 @@
 	}
 }
 
-/* Puts the latest admitted of the lowest priority back to wait. */
+/*
+ * Preempts the generation of the lowest priority, of several the one admitted
+ * last, and puts it back into the queue.
+ */
 static void engine_preempt(struct engine_model *engine, int64_t now_us)
 {
 	guint last = 0;
@@ -78,16 +85,19 @@
 		}
 	}
 	g_ptr_array_remove_index(engine->running, last);
-	engine->used_tokens -= victim->held;
+	engine->used_tokens -= victim->resident_tokens;
 	engine->totals.preemptions++;
-	victim->held = 0;
-	victim->in_step = false;
+	victim->resident_tokens = 0;
+	victim->decodes_in_step = false;
 	victim->preempted = true;
 	engine_add_output(engine, ENGINE_PREEMPTED, victim, now_us);
-	generation_wait(engine, victim);
+	generation_enqueue(engine, victim);
 }
 
-/* Shares the step's prompt tokens out and returns how many are read. */
+/*
+ * Distributes the step's budget of prompt tokens in admission order. Returns
+ * how many prompt tokens the step reads.
+ */
 static int64_t engine_plan_prefill(struct engine_model *engine)
 {
 	int64_t budget = engine->options.prefill_chunk_tokens;
@@ -95,14 +105,14 @@
 	for (guint i = 0; i < engine->running->len; i++) {
 		struct generation *g = g_ptr_array_index(engine->running, i);
 
-		g->prefill_planned = MIN(g->prefill_left, budget);
-		g->in_step = g->prefill_planned == g->prefill_left;
+		g->prefill_planned = MIN(g->prefill_remaining, budget);
+		g->decodes_in_step = g->prefill_planned == g->prefill_remaining;
 		budget -= g->prefill_planned;
 	}
 	return engine->options.prefill_chunk_tokens - budget;
 }
 
-static int64_t engine_count_in_step(const struct engine_model *engine)
+static int64_t engine_count_decoding(const struct engine_model *engine)
 {
 	int64_t n = 0;
 
@@ -110,13 +120,13 @@
 		const struct generation *g =
 			g_ptr_array_index(engine->running, i);
 
-		n += g->in_step;
+		n += g->decodes_in_step;
 	}
 	return n;
 }
 
-static int64_t engine_step_us(struct engine_model *engine, int64_t decoded,
-			      int64_t prefilled)
+static int64_t engine_step_duration_us(struct engine_model *engine,
+				       int64_t decoded, int64_t prefilled)
 {
 	const struct engine_model_options *options = &engine->options;
 	int64_t us =
@@ -129,7 +139,7 @@
 	return MAX((int64_t)(us * engine->slowdown), 1);
 }
 
-/* Starts the next step, or goes idle where nothing is to be done. */
+/* Starts the next step, or goes idle if there are no requests. */
 void engine_begin_step(struct engine_model *engine, int64_t now_us)
 {
 	int64_t prefilled;
@@ -141,29 +151,30 @@
 		return;
 	}
 	prefilled = engine_plan_prefill(engine);
-	decoded = engine_count_in_step(engine);
+	decoded = engine_count_decoding(engine);
 	while (engine->running->len > 1 &&
 	       engine->used_tokens + decoded >
 		       engine->options.capacity_tokens) {
 		engine_preempt(engine, now_us);
-		decoded = engine_count_in_step(engine);
+		decoded = engine_count_decoding(engine);
 	}
-	engine->step_end_us = MAX(now_us, engine->stalled_until_us) +
-			      engine_step_us(engine, decoded, prefilled);
+	engine->step_end_us =
+		MAX(now_us, engine->stalled_until_us) +
+		engine_step_duration_us(engine, decoded, prefilled);
 }
 
-/* One token more; true where the generation is whole. */
-static bool generation_make_token(struct engine_model *engine,
+/* Emits the next token; returns true if the generation is complete. */
+static bool generation_emit_token(struct engine_model *engine,
 				  struct generation *g, int64_t at_us)
 {
 	engine_add_output(engine, ENGINE_TOKENS, g, at_us);
-	if (g->made == 0)
+	if (g->generated_tokens == 0)
 		engine->totals.started++;
-	g->made++;
-	g->held++;
+	g->generated_tokens++;
+	g->resident_tokens++;
 	engine->used_tokens++;
 	engine->totals.decoded_tokens++;
-	return g->made >= g->request.output_tokens;
+	return g->generated_tokens >= g->request.output_tokens;
 }
 
 static void engine_end_step(struct engine_model *engine)
@@ -176,25 +187,26 @@
 		struct generation *g = g_ptr_array_index(engine->running, i);
 
 		if (g->prefill_planned) {
-			g->prefill_left -= g->prefill_planned;
+			g->prefill_remaining -= g->prefill_planned;
 			g->prefill_planned = 0;
-			if (!g->prefill_left)
+			if (!g->prefill_remaining)
 				prefix_cache_store(engine->cache,
 						   g->request.prefix_hash,
 						   g->request.prefix_tokens);
 		}
-		if (g->in_step && generation_make_token(engine, g, at_us)) {
+		if (g->decodes_in_step &&
+		    generation_emit_token(engine, g, at_us)) {
 			engine_add_output(engine, ENGINE_DONE, g, at_us);
-			generation_forget(engine, g);
+			generation_remove(engine, g);
 			continue;
 		}
 		g_ptr_array_index(engine->running, kept++) = g;
 	}
 	g_ptr_array_set_size(engine->running, kept);
-	engine_keep_load(engine, at_us);
+	engine_record_load(engine, at_us);
 }
 
-/* Ends and begins steps until now_us. */
+/* Runs all steps that end by now_us. */
 void engine_advance(struct engine_model *engine, int64_t now_us)
 {
 	while (engine->step_end_us <= now_us) {
--- a/fakes/engine_stream.c
+++ b/fakes/engine_stream.c
@@ -3,7 +3,7 @@
 #include "fakes/engine_text.h"
 #include "fakes/fake_server.h"
 
-#define TOKENS_PER_EVENT 64 /* of a backlog */
+#define TOKENS_PER_EVENT 64 /* at most, when a backlog is sent */
 
 static const char *const state_names[] = {
 	[ENGINE_STREAM_WAITING] = "waiting",
@@ -12,7 +12,7 @@
 	[ENGINE_STREAM_CANCELLED] = "cancelled",
 };
 
-/* A generation that waits, without a reader. */
+/* Creates a waiting generation without a reader. */
 struct engine_stream *engine_stream_create(uint64_t id, const char *generation)
 {
 	struct engine_stream *stream = g_new0(struct engine_stream, 1);
@@ -22,7 +22,7 @@
 	return stream;
 }
 
-static void stream_drop_reader(struct engine_stream *stream)
+static void stream_release_reader(struct engine_stream *stream)
 {
 	g_source_destroy(stream->close_watch);
 	g_clear_pointer(&stream->close_watch, g_source_unref);
@@ -30,49 +30,50 @@
 	g_clear_object(&stream->reader);
 }
 
-/* Ends the reader's answer where it is, without saying that it was whole. */
-static void stream_let_go(struct engine_stream *stream)
+/* Ends the reader's answer at this point, without the final event. */
+static void stream_detach_reader(struct engine_stream *stream)
 {
 	if (!stream->reader)
 		return;
 	soup_message_body_complete(
 		soup_server_message_get_response_body(stream->reader));
 	soup_server_message_unpause(stream->reader);
-	stream_drop_reader(stream);
+	stream_release_reader(stream);
 }
 
-/* Ends the reader's answer and frees the generation; NULL is allowed. */
+/* Ends the reader's answer and frees the stream, which may be NULL. */
 void engine_stream_destroy(struct engine_stream *stream)
 {
 	if (!stream)
 		return;
-	stream_let_go(stream);
+	stream_detach_reader(stream);
 	if (stream->hold_timer)
 		g_source_remove(stream->hold_timer);
 	g_free(stream->generation);
 	g_free(stream);
 }
 
-static gboolean hold_ended(gpointer data)
+static gboolean hold_timer_fired(gpointer data)
 {
 	struct engine_stream *stream = data;
 
 	stream->hold_timer = 0;
-	stream->abandoned(stream->abandoned_data, stream);
+	stream->on_hold_expired(stream->hold_expired_data, stream);
 	return G_SOURCE_REMOVE;
 }
 
-static void stream_hold(struct engine_stream *stream)
+static void stream_start_hold(struct engine_stream *stream)
 {
-	stream->hold_timer = g_timeout_add(stream->hold_ms, hold_ended, stream);
+	stream->hold_timer =
+		g_timeout_add(stream->hold_ms, hold_timer_fired, stream);
 }
 
 static void reader_closed(void *data)
 {
 	struct engine_stream *stream = data;
 
-	stream_let_go(stream);
-	stream_hold(stream);
+	stream_detach_reader(stream);
+	stream_start_hold(stream);
 }
 
 static void reader_finished(SoupServerMessage *message G_GNUC_UNUSED,
@@ -80,13 +81,13 @@
 {
 	struct engine_stream *stream = data;
 
-	stream_drop_reader(stream);
-	stream_hold(stream);
+	stream_release_reader(stream);
+	stream_start_hold(stream);
 }
 
 /*
- * Gives the generation to a reader, from token `from` on; an earlier reader
- * is let go.
+ * Attaches a reader and sends it the generation from token `from` on. A
+ * previous reader is detached, and a running hold ends.
  */
 void engine_stream_attach(struct engine_stream *stream,
 			  SoupServerMessage *reader, int64_t from)
@@ -94,13 +95,13 @@
 	SoupMessageHeaders *headers =
 		soup_server_message_get_response_headers(reader);
 
-	stream_let_go(stream);
+	stream_detach_reader(stream);
 	if (stream->hold_timer)
 		g_source_remove(stream->hold_timer);
 	stream->hold_timer = 0;
 	stream->reader = g_object_ref(reader);
-	stream->sent = from;
-	stream->ended = false;
+	stream->sent_tokens = from;
+	stream->response_complete = false;
 	stream->finished_signal = g_signal_connect(
 		reader, "finished", G_CALLBACK(reader_finished), stream);
 	stream->close_watch =
@@ -116,7 +117,7 @@
 	engine_stream_flush(stream);
 }
 
-/* One server-sent event with the tokens from sent to end. */
+/* Appends one server-sent event with the tokens from sent_tokens to end. */
 static void append_tokens(const struct engine_stream *stream, GString *out,
 			  int64_t end)
 {
@@ -126,11 +127,11 @@
 	g_string_append(out, stream->chat
 				     ? "\"index\":0,\"delta\":{\"content\":\""
 				     : "\"index\":0,\"text\":\"");
-	engine_text_append(out, stream->generation, stream->sent,
-			   end - stream->sent);
-	g_string_append_printf(out,
-			       "\"%s}],\"tokens\":%" G_GINT64_FORMAT "}\n\n",
-			       stream->chat ? "}" : "", end - stream->sent);
+	engine_text_append(out, stream->generation, stream->sent_tokens,
+			   end - stream->sent_tokens);
+	g_string_append_printf(
+		out, "\"%s}],\"tokens\":%" G_GINT64_FORMAT "}\n\n",
+		stream->chat ? "}" : "", end - stream->sent_tokens);
 }
 
 static void append_end(const struct engine_stream *stream, GString *out)
@@ -141,37 +142,40 @@
 		"],\"usage\":{\"completion_tokens\":%" G_GINT64_FORMAT
 		"}}\n\ndata: [DONE]\n\n",
 		stream->chat ? "\"delta\":{}" : "\"text\":\"\"",
-		stream->cut ? "length" : "stop", stream->tokens);
+		stream->length_limited ? "length" : "stop", stream->tokens);
 }
 
-/* Sends the reader what it has not been given yet, and the end once done. */
+/*
+ * Sends the reader the tokens it has not received yet, and the final event if
+ * the generation is done.
+ */
 void engine_stream_flush(struct engine_stream *stream)
 {
 	SoupMessageBody *body;
 	GString *out;
 
-	if (!stream->reader || stream->ended)
+	if (!stream->reader || stream->response_complete)
 		return;
 	body = soup_server_message_get_response_body(stream->reader);
 	out = g_string_new(NULL);
-	while (stream->sent < stream->tokens) {
-		int64_t end =
-			MIN(stream->tokens, stream->sent + TOKENS_PER_EVENT);
+	while (stream->sent_tokens < stream->tokens) {
+		int64_t end = MIN(stream->tokens,
+				  stream->sent_tokens + TOKENS_PER_EVENT);
 
 		append_tokens(stream, out, end);
-		stream->sent = end;
+		stream->sent_tokens = end;
 	}
-	stream->ended = stream->state == ENGINE_STREAM_DONE;
-	if (stream->ended)
+	stream->response_complete = stream->state == ENGINE_STREAM_DONE;
+	if (stream->response_complete)
 		append_end(stream, out);
 	soup_message_body_append(body, SOUP_MEMORY_COPY, out->str, out->len);
 	g_string_free(out, TRUE);
-	if (stream->ended)
+	if (stream->response_complete)
 		soup_message_body_complete(body);
 	soup_server_message_unpause(stream->reader);
 }
 
-/* Name of a state, as in GET /fake/runs. */
+/* Returns the name of a state as GET /fake/runs shows it. */
 const char *engine_stream_state_name(enum engine_stream_state state)
 {
 	return state_names[state];
--- a/fakes/engine_stream.h
+++ b/fakes/engine_stream.h
@@ -8,10 +8,6 @@
 
 G_BEGIN_DECLS
 
-/*
- * One generation of the fake engine and its reader, at most one at a time. It
- * outlives its reader for as long as the request asked.
- */
 enum engine_stream_state {
 	ENGINE_STREAM_WAITING,
 	ENGINE_STREAM_RUNNING,
@@ -19,24 +15,29 @@
 	ENGINE_STREAM_CANCELLED
 };
 
+/*
+ * One generation of the fake engine and its reader; there is at most one
+ * reader at a time. After the reader finishes or disconnects, the generation is
+ * held for the time that the request asked for.
+ */
 struct engine_stream {
 	uint64_t id;
 	char *generation;
 	bool chat;
-	int64_t tokens;	       /* made so far */
-	int64_t output_tokens; /* of the whole answer */
-	bool cut;	       /* ended by the caller's max_tokens */
+	int64_t tokens;	       /* generated so far */
+	int64_t output_tokens; /* of the complete answer */
+	bool length_limited;   /* output limited by max_tokens */
 	enum engine_stream_state state;
 	int64_t hold_ms;
 
 	SoupServerMessage *reader;
 	GSource *close_watch;
 	gulong finished_signal;
-	int64_t sent; /* tokens given to the reader */
-	bool ended;   /* its answer is complete */
+	int64_t sent_tokens;	/* tokens sent to the reader */
+	bool response_complete; /* the reader's answer is complete */
 	guint hold_timer;
-	void (*abandoned)(void *data, struct engine_stream *stream);
-	void *abandoned_data;
+	void (*on_hold_expired)(void *data, struct engine_stream *stream);
+	void *hold_expired_data;
 };
 
 struct engine_stream *engine_stream_create(uint64_t id, const char *generation);
--- a/fakes/engine_text.c
+++ b/fakes/engine_text.c
@@ -3,11 +3,11 @@
 #include <math.h>
 #include <string.h>
 
-#define LENGTH_MARK "[[tokens="
+#define LENGTH_DIRECTIVE "[[tokens="
 #define MEDIAN_TOKENS 200
 #define LOG_SIGMA 1.0
 
-/* FNV-1a, 64 bits. */
+/* Returns the 64-bit FNV-1a hash of size bytes. */
 uint64_t engine_text_hash(const char *text, size_t size)
 {
 	uint64_t hash = 0xcbf29ce484222325;
@@ -17,7 +17,7 @@
 	return hash;
 }
 
-/* A number of the standard normal distribution, by Box and Muller. */
+/* Maps a hash to the standard normal distribution (Box-Muller transform). */
 static double normal_from_hash(uint64_t hash)
 {
 	double u = ((hash >> 32) + 1) / 4294967297.0;
@@ -27,17 +27,19 @@
 }
 
 /*
- * How long the answer to a prompt is: N where the prompt says [[tokens=N]],
- * else lognormal, the same for the same prompt and seed. At least 1.
+ * Returns the output length for a prompt, at least 1: N if the prompt contains
+ * [[tokens=N]], else a lognormal length that depends only on the prompt and
+ * the seed.
  */
 int64_t engine_text_output_tokens(const char *prompt, uint64_t seed)
 {
-	const char *mark = strstr(prompt, LENGTH_MARK);
+	const char *directive = strstr(prompt, LENGTH_DIRECTIVE);
 	uint64_t hash = engine_text_hash(prompt, strlen(prompt)) ^ seed;
 	int64_t tokens;
 
-	if (mark)
-		tokens = g_ascii_strtoll(mark + strlen(LENGTH_MARK), NULL, 10);
+	if (directive)
+		tokens = g_ascii_strtoll(directive + strlen(LENGTH_DIRECTIVE),
+					 NULL, 10);
 	else
 		tokens = MEDIAN_TOKENS *
 			 exp(LOG_SIGMA * normal_from_hash(engine_text_hash(
@@ -45,7 +47,10 @@
 	return MAX(tokens, 1);
 }
 
-/* Appends count tokens of a generation from offset first on: "g7.41 ". */
+/*
+ * Appends count tokens of a generation, starting at offset first. A token
+ * looks like "g7.41 ".
+ */
 void engine_text_append(GString *text, const char *generation, int64_t first,
 			int64_t count)
 {
--- a/fakes/engine_text.h
+++ b/fakes/engine_text.h
@@ -7,8 +7,8 @@
 G_BEGIN_DECLS
 
 /*
- * What a fake engine says: each token names its generation and its offset,
- * so that an answer put together from two runs shows.
+ * Output text of the fake engine. Each token contains its generation and its
+ * offset, so that a test can detect an answer mixed from two runs.
  */
 uint64_t engine_text_hash(const char *text, size_t size);
 int64_t engine_text_output_tokens(const char *prompt, uint64_t seed);
--- a/fakes/fake_engine.c
+++ b/fakes/fake_engine.c
@@ -7,10 +7,10 @@
 #include <string.h>
 
 #define BYTES_PER_TOKEN 4  /* of a prompt, about as in English text */
-#define PREFIX_BYTES 256   /* of a prompt, shared with others if equal */
-#define DEFAULT_PRIORITY 5 /* without X-Priority */
+#define PREFIX_BYTES 256   /* of a prompt; equal prefixes share the cache */
+#define DEFAULT_PRIORITY 5 /* if there is no X-Priority header */
 
-/* The model's time. */
+/* Returns the model's time: scaled time since the engine started. */
 int64_t fake_engine_now_us(const struct fake_engine *engine)
 {
 	return (g_get_monotonic_time() - engine->started_us) *
@@ -35,8 +35,8 @@
 	run->tokens = stream->tokens;
 }
 
-static void engine_take_output(struct fake_engine *engine,
-			       const struct engine_output *output)
+static void engine_handle_output(struct fake_engine *engine,
+				 const struct engine_output *output)
 {
 	struct engine_stream *stream = engine_find(engine, output->id);
 
@@ -58,17 +58,17 @@
 		engine_stream_flush(stream);
 }
 
-/* Runs the model to now, sends what it made and waits for its next step. */
-static void engine_pump(struct fake_engine *engine)
+/* Runs the model to now, sends its outputs and schedules the next step. */
+static void engine_update(struct fake_engine *engine)
 {
 	int64_t due_us;
 
 	engine_model_step(engine->model, fake_engine_now_us(engine),
 			  engine->outputs);
 	for (guint i = 0; i < engine->outputs->len; i++)
-		engine_take_output(engine,
-				   &g_array_index(engine->outputs,
-						  struct engine_output, i));
+		engine_handle_output(engine,
+				     &g_array_index(engine->outputs,
+						    struct engine_output, i));
 	g_array_set_size(engine->outputs, 0);
 	due_us = engine_model_next_due_us(engine->model);
 	g_source_set_ready_time(
@@ -87,13 +87,13 @@
 
 static gboolean step_due(gpointer data)
 {
-	engine_pump(data);
+	engine_update(data);
 	return G_SOURCE_CONTINUE;
 }
 
 static GSourceFuncs timer_funcs = {.dispatch = timer_fired};
 
-static void engine_forget(void *data, struct engine_stream *stream)
+static void engine_cancel(void *data, struct engine_stream *stream)
 {
 	struct fake_engine *engine = data;
 
@@ -102,7 +102,7 @@
 	if (stream->state != ENGINE_STREAM_DONE)
 		engine_set_state(engine, stream, ENGINE_STREAM_CANCELLED);
 	g_hash_table_remove(engine->streams, &stream->id);
-	engine_pump(engine);
+	engine_update(engine);
 }
 
 static int64_t header_int(SoupServerMessage *message, const char *name,
@@ -133,10 +133,10 @@
 				   fake_engine_now_us(engine));
 }
 
-/* Runs a completion and streams it, or answers 503: not run. */
-static void engine_complete(struct fake_engine *engine,
-			    SoupServerMessage *message,
-			    const struct engine_completion *completion)
+/* Runs a completion and streams it, or answers 503 without running it. */
+static void engine_run_completion(struct fake_engine *engine,
+				  SoupServerMessage *message,
+				  const struct engine_completion *completion)
 {
 	int64_t tokens = engine_text_output_tokens(completion->prompt->str,
 						   engine->options.seed);
@@ -157,13 +157,13 @@
 			      completion->prompt->str, engine->options.seed);
 	stream = engine_stream_create(engine->runs->len, run->generation);
 	stream->chat = completion->chat;
-	stream->cut = tokens > completion->max_tokens;
+	stream->length_limited = tokens > completion->max_tokens;
 	stream->hold_ms = MAX(header_int(message, "X-Resume-Hold-Ms", 0), 0);
-	stream->abandoned = engine_forget;
-	stream->abandoned_data = engine;
+	stream->on_hold_expired = engine_cancel;
+	stream->hold_expired_data = engine;
 	g_hash_table_insert(engine->streams, &stream->id, stream);
 	engine_stream_attach(stream, message, 0);
-	engine_pump(engine);
+	engine_update(engine);
 }
 
 static void handle_completion(void *data, SoupServerMessage *message,
@@ -175,7 +175,7 @@
 	if (!body)
 		return;
 	if (engine_completion_read(&completion, path, body))
-		engine_complete(data, message, &completion);
+		engine_run_completion(data, message, &completion);
 	else
 		fake_message_answer_text(message, 400, "no prompt\n");
 	engine_completion_clear(&completion);
@@ -198,7 +198,10 @@
 	return NULL;
 }
 
-/* The offset in "ID:END", 0 without an id; -1: not of this generation. */
+/*
+ * Returns the offset END of an event id "ID:END", 0 if id is NULL, or -1 if it
+ * belongs to another generation or is past the tokens generated so far.
+ */
 static int64_t resume_offset(const struct engine_stream *stream, const char *id)
 {
 	size_t size = strlen(stream->generation);
@@ -212,7 +215,7 @@
 	return offset <= stream->tokens ? offset : -1;
 }
 
-/* GET resumes, DELETE cancels. */
+/* Handles /v1/generations/ID: GET resumes the stream, DELETE cancels it. */
 static void handle_generation(void *data, SoupServerMessage *message,
 			      const char *path)
 {
@@ -227,7 +230,7 @@
 		return;
 	}
 	if (strcmp(method, "DELETE") == 0) {
-		engine_forget(engine, stream);
+		engine_cancel(engine, stream);
 		fake_message_answer_text(message, 200, "cancelled\n");
 		return;
 	}
@@ -242,7 +245,7 @@
 	engine_stream_attach(stream, message, offset);
 }
 
-/* GET /fake/runs: all requests this process took, in order. */
+/* Handles GET /fake/runs: all requests this process accepted, in order. */
 static void handle_runs(void *data, SoupServerMessage *message,
 			const char *path G_GNUC_UNUSED)
 {
@@ -268,7 +271,7 @@
 	engine->stall_ms = 0;
 	fake_server_stall_link(engine->server, engine->stall_link_ms);
 	engine->stall_link_ms = 0;
-	engine_pump(engine);
+	engine_update(engine);
 	if (fake_server_link_stalled(engine->server))
 		return;
 	g_hash_table_iter_init(&i, engine->streams);
@@ -304,7 +307,7 @@
 			      engine);
 }
 
-static int engine_run(struct fake_engine *engine)
+static int engine_serve(struct fake_engine *engine)
 {
 	const struct fake_mode modes[] = {
 		{"crash", FAKE_MODE_BOOL, &engine->crash},
@@ -339,7 +342,7 @@
 	return status;
 }
 
-/* A model engine behind HTTP, in real time or faster. */
+/* Serves the engine model over HTTP, in real time or faster. */
 int main(int argc, const char **argv)
 {
 	struct fake_engine engine = {.time_scale = 1};
@@ -360,11 +363,11 @@
 		{"time-scale", 0, POPT_ARG_DOUBLE, &engine.time_scale, 0,
 		 "How many times faster than real time", "FACTOR"},
 		{"checks-fence", 0, POPT_ARG_NONE, &checks_fence, 0,
-		 "Refuse orders with an old fencing number", NULL},
+		 "Reject orders with an old fencing number", NULL},
 		{"load-lag-ms", 0, POPT_ARG_LONGLONG, &load_lag_ms, 0,
 		 "Age of the reported load", "MS"},
 		{"seed", 0, POPT_ARG_LONGLONG, &options->seed, 0,
-		 "Of lengths and step times; names the generations", "N"},
+		 "Seed of lengths, step times and generation names", "N"},
 		POPT_TABLEEND};
 
 	engine.server = fake_server_create(argc, argv, table);
@@ -372,13 +375,15 @@
 		return 2;
 	if (options->capacity_tokens < 1 || options->max_batch < 1 ||
 	    engine.time_scale <= 0 || load_lag_ms < 0) {
-		fprintf(stderr, "options must be positive\n");
+		fprintf(stderr, "capacity-tokens, max-batch and time-scale "
+				"must be positive, load-lag-ms must not be "
+				"negative\n");
 		fake_server_destroy(engine.server);
 		return 2;
 	}
 	options->checks_fence = checks_fence;
 	options->load_lag_us = load_lag_ms * 1000;
-	status = engine_run(&engine);
+	status = engine_serve(&engine);
 	fake_server_destroy(engine.server);
 	return status;
 }
--- a/fakes/fake_engine_state.h
+++ b/fakes/fake_engine_state.h
@@ -13,7 +13,7 @@
 
 G_BEGIN_DECLS
 
-/* Shared by fake_engine.c and engine_admin.c; not for others. */
+/* Internal to fake_engine.c and engine_admin.c. */
 struct fake_engine {
 	struct fake_server *server;
 	struct engine_model *model;
@@ -23,7 +23,7 @@
 	GSource *timer;
 	GArray *outputs;
 	GPtrArray *runs;     /* struct engine_run; id - 1 is the index */
-	GHashTable *streams; /* id: struct engine_stream */
+	GHashTable *streams; /* id to struct engine_stream */
 
 	bool crash;
 	bool leaving;
--- a/tests/engine_model_test.cc
+++ b/tests/engine_model_test.cc
@@ -55,7 +55,7 @@
 		return {first, first + outputs->len};
 	}
 
-	int64_t Used(int64_t now_us)
+	int64_t TokensUsed(int64_t now_us)
 	{
 		struct load_report report;
 
@@ -68,9 +68,9 @@
 	GArray *outputs;
 };
 
-/* Checks that each id's tokens come in order, once, to the end. */
-void ExpectWhole(const std::vector<struct engine_output> &outputs,
-		 const std::map<uint64_t, int64_t> &lengths)
+/* Checks that the tokens of each id are complete, in order and not repeated. */
+void ExpectComplete(const std::vector<struct engine_output> &outputs,
+		    const std::map<uint64_t, int64_t> &lengths)
 {
 	std::map<uint64_t, int64_t> next;
 	std::map<uint64_t, int> done;
@@ -96,10 +96,11 @@
 TEST_F(EngineModel, MakesEachTokenOnceInOrderAndDelaysPreempted)
 {
 	/*
-	 * Three requests of 1,000 tokens each on an engine of 2,000: memory
-	 * fills in mid-decode, the latest of the lowest priority is put back
-	 * and its prompt and tokens are read again. Its reader sees a pause,
-	 * and never a token twice.
+	 * Three requests of 1,000 tokens each run on an engine with memory for
+	 * 2,000. Memory fills up while they decode, so the generation of the
+	 * lowest priority that was admitted last is preempted, and its prompt
+	 * and tokens are recomputed. Its reader must see a pause, but no token
+	 * twice.
 	 */
 	options.capacity_tokens = 2000;
 	Create();
@@ -108,7 +109,7 @@
 	Submit(3, 100, 900, 9);
 
 	auto all = Run(200 * kSecond);
-	ExpectWhole(all, {{1, 900}, {2, 900}, {3, 900}});
+	ExpectComplete(all, {{1, 900}, {2, 900}, {3, 900}});
 	const struct engine_totals *totals = engine_model_totals(engine);
 	EXPECT_GE(totals->preemptions, 1);
 	EXPECT_GT(totals->recomputed_tokens, 600);
@@ -130,7 +131,7 @@
 	}
 	EXPECT_LT(longest_us[3], 100000);
 	EXPECT_GT(longest_us[2], kSecond);
-	EXPECT_EQ(0, Used(300 * kSecond));
+	EXPECT_EQ(0, TokensUsed(300 * kSecond));
 }
 
 TEST_F(EngineModel, AdmitsByPriorityThenArrival)
@@ -158,11 +159,11 @@
 	Submit(1, 1000, 1000);
 	Submit(2, 1000, 1000);
 	Run(kSecond);
-	EXPECT_GT(Used(kSecond), 1000);
+	EXPECT_GT(TokensUsed(kSecond), 1000);
 	EXPECT_TRUE(engine_model_cancel(engine, 2, kSecond));
 	EXPECT_TRUE(engine_model_cancel(engine, 1, kSecond));
 	EXPECT_FALSE(engine_model_cancel(engine, 1, kSecond));
-	EXPECT_EQ(0, Used(kSecond));
+	EXPECT_EQ(0, TokensUsed(kSecond));
 	EXPECT_EQ(-1, engine_model_token_count(engine, 1));
 	EXPECT_TRUE(Run(60 * kSecond).empty());
 	EXPECT_EQ(INT64_MAX, engine_model_next_due_us(engine));
@@ -195,9 +196,9 @@
 	Run(10 * kSecond);
 	Submit(1, 5000, 3000, 5, 10 * kSecond);
 	Run(11 * kSecond);
-	EXPECT_EQ(0, Used(11 * kSecond));
+	EXPECT_EQ(0, TokensUsed(11 * kSecond));
 	Run(13 * kSecond);
-	int64_t used = Used(13 * kSecond);
+	int64_t used = TokensUsed(13 * kSecond);
 	EXPECT_GT(used, 5000);
 	EXPECT_LT(used, 5000 + engine_model_token_count(engine, 1));
 }
@@ -219,7 +220,7 @@
 	EXPECT_TRUE(Run(5 * kSecond).empty());
 	engine_model_restart(engine, 5 * kSecond);
 	EXPECT_TRUE(Submit(3, 100, 10, 5, 5 * kSecond));
-	ExpectWhole(Run(6 * kSecond), {{3, 10}});
+	ExpectComplete(Run(6 * kSecond), {{3, 10}});
 }
 
 TEST_F(EngineModel, StallsSlowsDownAndLeaves)
@@ -232,23 +233,26 @@
 	engine_model_set_leaving(engine, true);
 	EXPECT_FALSE(Submit(2, 10, 10, 5, 3 * kSecond));
 	auto all = Run(60 * kSecond);
-	ExpectWhole(all, {{1, 100}});
+	ExpectComplete(all, {{1, 100}});
 	EXPECT_GT(all.back().at_us, 10 * kSecond);
 }
 
 TEST_F(EngineModel, OldOrderIsRefusedOnlyWhereChecked)
 {
 	Create();
-	EXPECT_EQ(ENGINE_ORDER_DONE, engine_model_order(engine, 7, "v2"));
-	EXPECT_EQ(ENGINE_ORDER_STALE, engine_model_order(engine, 6, "v1"));
-	EXPECT_EQ(ENGINE_ORDER_DONE, engine_model_order(engine, 7, "v3"));
+	EXPECT_EQ(ENGINE_ORDER_ACCEPTED,
+		  engine_model_set_target(engine, 7, "v2"));
+	EXPECT_EQ(ENGINE_ORDER_STALE, engine_model_set_target(engine, 6, "v1"));
+	EXPECT_EQ(ENGINE_ORDER_ACCEPTED,
+		  engine_model_set_target(engine, 7, "v3"));
 	EXPECT_STREQ("v3", engine_model_target(engine));
 	engine_model_destroy(engine);
 
 	options.checks_fence = false;
 	Create();
-	engine_model_order(engine, 7, "v2");
-	EXPECT_EQ(ENGINE_ORDER_DONE, engine_model_order(engine, 6, "v1"));
+	engine_model_set_target(engine, 7, "v2");
+	EXPECT_EQ(ENGINE_ORDER_ACCEPTED,
+		  engine_model_set_target(engine, 6, "v1"));
 	EXPECT_STREQ("v1", engine_model_target(engine));
 }
 
--- a/tests/fake_engine_test.cc
+++ b/tests/fake_engine_test.cc
@@ -10,7 +10,7 @@
 namespace
 {
 
-/* A fake engine in a process of its own, ended when the test ends. */
+/* Runs a fake engine as a separate process and ends it with the test. */
 class FakeEngine : public testing::Test
 {
       protected:
@@ -45,10 +45,11 @@
 		g_object_unref(process);
 	}
 
-	/* The answer's body; status is 0 where the connection broke. */
-	std::string Ask(const char *method, const std::string &path,
-			const std::string &body = "",
-			const char *header = nullptr, const char *value = "")
+	/* Returns the answer's body; status is 0 if the connection broke. */
+	std::string Request(const char *method, const std::string &path,
+			    const std::string &body = "",
+			    const char *header = nullptr,
+			    const char *value = "")
 	{
 		SoupMessage *message = soup_message_new(
 			method, ("http://" + address + path).c_str());
@@ -78,8 +79,8 @@
 		return text;
 	}
 
-	/* Starts a stream, reads its first bytes and closes it. */
-	void ReadALittle(const std::string &body, const char *hold_ms)
+	/* Starts a stream, reads its first bytes and closes the connection. */
+	void ReadFirstBytes(const std::string &body, const char *hold_ms)
 	{
 		SoupMessage *message = soup_message_new(
 			"POST",
@@ -113,8 +114,8 @@
 
 TEST_F(FakeEngine, StreamsNumberedTokensAndEndsOnSigterm)
 {
-	std::string text = Ask("POST", "/v1/completions",
-			       R"({"prompt":"a [[tokens=3]]"})");
+	std::string text = Request("POST", "/v1/completions",
+				   R"({"prompt":"a [[tokens=3]]"})");
 
 	EXPECT_EQ(200u, status);
 	EXPECT_NE(std::string::npos, text.find("id: g1-5:3\n"));
@@ -122,49 +123,51 @@
 	EXPECT_EQ(std::string::npos, text.find("g1-5.3 "));
 	EXPECT_NE(std::string::npos, text.find("data: [DONE]\n\n"));
 	EXPECT_NE(std::string::npos,
-		  Ask("GET", "/metrics").find("engine_tokens_capacity 60000"));
+		  Request("GET", "/metrics")
+			  .find("engine_tokens_capacity 60000"));
 	g_subprocess_send_signal(process, SIGTERM);
 	g_subprocess_wait(process, nullptr, nullptr);
 	EXPECT_TRUE(g_subprocess_get_successful(process));
 }
 
 /*
- * A reader closes after a few tokens. Where it asked for a hold, the
- * generation goes on and a second reader gets the rest from the token it
- * names; where it did not, the generation is cancelled and its rest is gone.
+ * A reader disconnects after a few tokens. If it asked for a hold, the
+ * generation continues, and a second reader receives the remaining tokens from
+ * the offset it names. Otherwise the generation is cancelled and can no longer
+ * be resumed.
  */
 TEST_F(FakeEngine, ResumesWhatIsHeldAndCancelsWhatIsNot)
 {
-	ReadALittle(R"({"prompt":"a [[tokens=40]]"})", "5000");
-	std::string text = Ask("GET", "/v1/generations/g1-5", "",
-			       "Last-Event-ID", "g1-5:1");
+	ReadFirstBytes(R"({"prompt":"a [[tokens=40]]"})", "5000");
+	std::string text = Request("GET", "/v1/generations/g1-5", "",
+				   "Last-Event-ID", "g1-5:1");
 	EXPECT_EQ(200u, status);
 	EXPECT_EQ(std::string::npos, text.find("g1-5.0 "));
 	EXPECT_NE(std::string::npos, text.find("g1-5.1 "));
 	EXPECT_NE(std::string::npos, text.find("g1-5.39 "));
 	EXPECT_NE(std::string::npos, text.find("[DONE]"));
 
-	ReadALittle(R"({"prompt":"b [[tokens=4000]]"})", "0");
+	ReadFirstBytes(R"({"prompt":"b [[tokens=4000]]"})", "0");
 	text.clear();
 	for (int i = 0; i < 100 && text.find("cancelled") == text.npos; i++) {
 		g_usleep(20000);
-		text = Ask("GET", "/fake/runs");
+		text = Request("GET", "/fake/runs");
 	}
 	EXPECT_NE(std::string::npos, text.find("\"state\":\"cancelled\""));
-	Ask("GET", "/v1/generations/g2-5");
+	Request("GET", "/v1/generations/g2-5");
 	EXPECT_EQ(404u, status);
 }
 
 TEST_F(FakeEngine, RefusesWithoutRunningAndDiesOfPoison)
 {
-	Ask("POST", "/fake/mode", R"({"refuse":true,"crash_on":"poison"})");
+	Request("POST", "/fake/mode", R"({"refuse":true,"crash_on":"poison"})");
 	EXPECT_EQ(200u, status);
-	Ask("POST", "/v1/completions", R"({"prompt":"a"})");
+	Request("POST", "/v1/completions", R"({"prompt":"a"})");
 	EXPECT_EQ(503u, status);
-	EXPECT_EQ("[]", Ask("GET", "/fake/runs"));
-	Ask("POST", "/fake/mode", R"({"no_such_switch":1})");
+	EXPECT_EQ("[]", Request("GET", "/fake/runs"));
+	Request("POST", "/fake/mode", R"({"no_such_switch":1})");
 	EXPECT_EQ(400u, status);
-	Ask("POST", "/v1/completions", R"({"prompt":"a poison"})");
+	Request("POST", "/v1/completions", R"({"prompt":"a poison"})");
 	EXPECT_EQ(0u, status);
 	g_subprocess_wait(process, nullptr, nullptr);
 	EXPECT_TRUE(g_subprocess_get_if_signaled(process));
