--- a/fakes/platform_store.c
+++ b/fakes/platform_store.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#define PAGE_ITEMS 500
-#define LONGEST_WAIT_MS 30000
+#define MAX_PAGE_ITEMS 500
+#define MAX_WAIT_MS 30000
 
 static void item_free(gpointer data)
 {
@@ -28,12 +28,12 @@
 	json_builder_set_member_name(builder, "value");
 	json_builder_add_string_value(builder, item->value);
 	json_builder_set_member_name(builder, "created");
-	json_builder_add_int_value(builder, item->created);
+	json_builder_add_int_value(builder, item->created_revision);
 	json_builder_set_member_name(builder, "lease");
-	json_builder_add_int_value(builder, item->lease);
+	json_builder_add_int_value(builder, item->lease_id);
 }
 
-/* An item in a list. */
+/* Appends an item to a JSON array. */
 void platform_store_add_item(JsonBuilder *builder, const struct item *item)
 {
 	json_builder_begin_object(builder);
@@ -41,7 +41,10 @@
 	json_builder_end_object(builder);
 }
 
-/* A page, to be filled with items. */
+/*
+ * Begins a JSON page with an open array under the name list. The caller adds
+ * items, closes the array and the object, and owns the builder.
+ */
 JsonBuilder *platform_store_page_begin(const char *list)
 {
 	JsonBuilder *builder = json_builder_new();
@@ -97,7 +100,7 @@
 	for (guint i = 0; i < store->changes->len; i++) {
 		const struct item *item = g_ptr_array_index(store->changes, i);
 
-		if (item->revision > watch->after &&
+		if (item->revision > watch->after_revision &&
 		    g_str_has_prefix(item->key, watch->prefix))
 			platform_store_add_item(builder, item);
 	}
@@ -106,7 +109,7 @@
 	g_ptr_array_remove(store->watches, watch);
 }
 
-static gboolean watch_over(gpointer data)
+static gboolean on_watch_timeout(gpointer data)
 {
 	struct watch *watch = data;
 
@@ -115,7 +118,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* The last change of a key up to a revision; NULL: there was none. */
+/* The last change of a key up to a revision; NULL if there is none. */
 static const struct item *latest_at(const struct platform_store *store,
 				    const char *key, int64_t revision)
 {
@@ -128,39 +131,48 @@
 	return NULL;
 }
 
-/* The last change of a key; NULL: it was never written. */
+/*
+ * Returns the last change of a key, which may be its deletion; NULL if the key
+ * was never written. The store owns the item.
+ */
 const struct item *platform_store_latest(const struct platform_store *store,
 					 const char *key)
 {
 	return latest_at(store, key, store->revision);
 }
 
-/* Writes or deletes a key and answers the watches that wait for it. */
+/*
+ * Writes a key, or deletes it if value is NULL, and answers the watches that
+ * wait for it, unless the store is down or silent. Takes ownership of value
+ * (base64). Lease_id is the lease of the key, 0 for none.
+ */
 void platform_store_write(struct platform_store *store, const char *key,
-			  char *value, int64_t lease)
+			  char *value, int64_t lease_id)
 {
 	const struct item *before = platform_store_latest(store, key);
 	struct item *item = g_new0(struct item, 1);
 
 	item->key = g_strdup(key);
 	item->value = value;
-	item->lease = lease;
-	item->at_us = g_get_monotonic_time();
+	item->lease_id = lease_id;
+	item->written_us = g_get_monotonic_time();
 	item->revision = ++store->revision;
-	item->created =
-		before && before->value ? before->created : item->revision;
+	item->created_revision = before && before->value
+					 ? before->created_revision
+					 : item->revision;
 	g_ptr_array_add(store->changes, item);
 	if (store->down || store->silent)
 		return;
 	for (guint i = store->watches->len; i-- > 0;) {
 		struct watch *watch = g_ptr_array_index(store->watches, i);
 
-		if (count_after(store, watch->prefix, watch->after) > 0)
+		if (count_after(store, watch->prefix, watch->after_revision) >
+		    0)
 			watch_answer(watch);
 	}
 }
 
-static GHashTable *query_of(SoupServerMessage *message)
+static GHashTable *parse_query(SoupServerMessage *message)
 {
 	const char *query =
 		g_uri_get_query(soup_server_message_get_uri(message));
@@ -168,91 +180,93 @@
 	return soup_form_decode(query ? query : "");
 }
 
-static const char *query_text(GHashTable *query, const char *name)
+static const char *query_get(GHashTable *query, const char *name)
 {
 	const char *text = g_hash_table_lookup(query, name);
 
 	return text ? text : "";
 }
 
-/* The revision that a read sees. */
-static int64_t read_view(const struct platform_store *store, GHashTable *query)
+/* The revision that a read with this query sees. */
+static int64_t read_revision(const struct platform_store *store,
+			     GHashTable *query)
 {
-	return platform_store_view(
-		store, strcmp(query_text(query, "allow_stale"), "1") == 0);
+	return platform_store_read_revision(
+		store, strcmp(query_get(query, "allow_stale"), "1") == 0);
 }
 
 static void on_range(void *data, SoupServerMessage *message, const char *path)
 {
 	struct platform_store *store = data;
-	g_autoptr(GHashTable) query = query_of(message);
-	const char *prefix = query_text(query, "path_prefix");
-	const char *after = query_text(query, "after");
-	int64_t view = read_view(store, query);
+	g_autoptr(GHashTable) query = parse_query(message);
+	const char *prefix = query_get(query, "path_prefix");
+	const char *after = query_get(query, "after");
+	int64_t as_of = read_revision(store, query);
 	JsonBuilder *builder;
 	int64_t count = 0;
 
 	(void)path;
-	if (platform_store_fails(store, message))
+	if (platform_store_inject_fault(store, message))
 		return;
 	builder = platform_store_page_begin("items");
 	for (guint i = 0; i < store->changes->len; i++) {
 		const struct item *item = g_ptr_array_index(store->changes, i);
 
-		if (!item->value || latest_at(store, item->key, view) != item ||
+		if (!item->value ||
+		    latest_at(store, item->key, as_of) != item ||
 		    !g_str_has_prefix(item->key, prefix) ||
-		    strcmp(item->key, after) <= 0 || count == PAGE_ITEMS)
+		    strcmp(item->key, after) <= 0 || count == MAX_PAGE_ITEMS)
 			continue;
 		platform_store_add_item(builder, item);
 		count++;
 	}
-	page_send(message, builder, view, count == PAGE_ITEMS);
+	page_send(message, builder, as_of, count == MAX_PAGE_ITEMS);
 }
 
 static void on_watch(void *data, SoupServerMessage *message, const char *path)
 {
 	struct platform_store *store = data;
-	g_autoptr(GHashTable) query = query_of(message);
+	g_autoptr(GHashTable) query = parse_query(message);
 	guint wait_ms = (guint)MIN(
-		g_ascii_strtoull(query_text(query, "wait_ms"), NULL, 10),
-		LONGEST_WAIT_MS);
+		g_ascii_strtoull(query_get(query, "wait_ms"), NULL, 10),
+		MAX_WAIT_MS);
 	struct watch *watch;
 
 	(void)path;
 	store->last_wait_ms = wait_ms;
-	if (platform_store_fails(store, message))
+	if (platform_store_inject_fault(store, message))
 		return;
 	watch = g_new0(struct watch, 1);
 	watch->store = store;
 	watch->message = g_object_ref(message);
-	watch->prefix = g_strdup(query_text(query, "path_prefix"));
-	watch->after =
-		(int64_t)g_ascii_strtoll(query_text(query, "after"), NULL, 10);
-	if (watch->after < store->oldest) {
+	watch->prefix = g_strdup(query_get(query, "path_prefix"));
+	watch->after_revision =
+		(int64_t)g_ascii_strtoll(query_get(query, "after"), NULL, 10);
+	if (watch->after_revision < store->oldest_revision) {
 		fake_message_answer_text(message, 410, "history is gone");
 		watch_free(watch);
 		return;
 	}
 	soup_server_message_pause(message);
 	g_ptr_array_add(store->watches, watch);
-	if (count_after(store, watch->prefix, watch->after) > 0)
+	if (count_after(store, watch->prefix, watch->after_revision) > 0)
 		watch_answer(watch);
 	else
-		watch->timer = g_timeout_add(wait_ms, watch_over, watch);
+		watch->timer = g_timeout_add(wait_ms, on_watch_timeout, watch);
 }
 
 static void on_key(void *data, SoupServerMessage *message, const char *path)
 {
 	struct platform_store *store = data;
-	g_autoptr(GHashTable) query = query_of(message);
-	int64_t view = read_view(store, query);
+	g_autoptr(GHashTable) query = parse_query(message);
+	int64_t as_of = read_revision(store, query);
 	const struct item *item;
 	JsonBuilder *builder;
 
 	(void)path;
-	if (platform_store_fails(store, message))
+	if (platform_store_inject_fault(store, message))
 		return;
-	item = latest_at(store, query_text(query, "key"), view);
+	item = latest_at(store, query_get(query, "key"), as_of);
 	if (!item || !item->value) {
 		fake_message_answer_text(message, 404, "no such key");
 		return;
@@ -261,7 +275,7 @@
 	json_builder_begin_object(builder);
 	add_fields(builder, item);
 	json_builder_set_member_name(builder, "as_of");
-	json_builder_add_int_value(builder, view);
+	json_builder_add_int_value(builder, as_of);
 	json_builder_end_object(builder);
 	fake_message_answer_json(message, 200, builder);
 }
@@ -273,7 +287,8 @@
 	const char *value;
 
 	if (!object || !json_object_has_member(object, "key")) {
-		fake_message_answer_text(message, 400, "key and value");
+		fake_message_answer_text(message, 400,
+					 "body must be JSON with a key");
 		return;
 	}
 	value = json_object_get_string_member_with_default(object, "value",
@@ -288,18 +303,22 @@
 	fake_message_answer_text(message, 200, "written");
 }
 
-static void on_calls(void *data, SoupServerMessage *message, const char *path)
+static void on_call_count(void *data, SoupServerMessage *message,
+			  const char *path)
 {
 	const struct platform_store *store = data;
 	char text[24];
 
 	(void)path;
-	g_snprintf(text, sizeof(text), "%" G_GINT64_FORMAT, store->calls);
+	g_snprintf(text, sizeof(text), "%" G_GINT64_FORMAT, store->call_count);
 	fake_message_answer_text(message, 200, text);
 }
 
-/* Ends the watches that wait, as a store does that goes away or forgets. */
-void platform_store_cut_watches(struct platform_store *store, unsigned status)
+/*
+ * Answers all waiting watches with an error: 503 when the store goes down, 410
+ * when its history is dropped.
+ */
+void platform_store_abort_watches(struct platform_store *store, unsigned status)
 {
 	while (store->watches->len > 0) {
 		struct watch *watch = g_ptr_array_index(store->watches, 0);
@@ -310,8 +329,9 @@
 	}
 }
 
-/* Deletes the keys that begin so. */
-void platform_store_remove_all(struct platform_store *store, const char *prefix)
+/* Deletes all keys that begin with prefix. */
+void platform_store_delete_prefix(struct platform_store *store,
+				  const char *prefix)
 {
 	guint count = store->changes->len;
 
@@ -324,54 +344,65 @@
 	}
 }
 
-/* The store on a server of its own; its faults are switches. */
+/*
+ * Creates an empty store and registers its handlers and fault switches with
+ * server, which serves no other fake. The caller frees the store with
+ * platform_store_destroy().
+ */
 struct platform_store *platform_store_create(struct fake_server *server)
 {
 	struct platform_store *store = g_new0(struct platform_store, 1);
 
 	store->changes = g_ptr_array_new_with_free_func(item_free);
 	store->watches = g_ptr_array_new_with_free_func(watch_free);
-	store->held = g_ptr_array_new_with_free_func(
+	store->held_changes = g_ptr_array_new_with_free_func(
 		(GDestroyNotify)json_object_unref);
 	store->leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					      platform_store_lease_free);
-	store->late = g_ptr_array_new_with_free_func(platform_store_late_free);
-	store->calls_served = g_ptr_array_new_with_free_func(g_free);
-	platform_store_serve(store, server, "/v1/kv-key", on_key);
-	platform_store_serve(store, server, "/v1/kv-range", on_range);
-	platform_store_serve(store, server, "/v1/kv-watch", on_watch);
-	platform_store_serve(store, server, "/v1/kv-txn",
-			     platform_store_on_txn);
-	platform_store_serve(store, server, "/v1/kv-lease",
-			     platform_store_on_lease);
-	platform_store_serve(store, server, "/v1/kv-keep",
-			     platform_store_on_keep);
-	platform_store_serve(store, server, "/v1/kv-lease-end",
-			     platform_store_on_lease_end);
+	store->delayed_calls =
+		g_ptr_array_new_with_free_func(platform_store_delayed_free);
+	store->call_handlers = g_ptr_array_new_with_free_func(g_free);
+	platform_store_add_handler(store, server, "/v1/kv-key", on_key);
+	platform_store_add_handler(store, server, "/v1/kv-range", on_range);
+	platform_store_add_handler(store, server, "/v1/kv-watch", on_watch);
+	platform_store_add_handler(store, server, "/v1/kv-txn",
+				   platform_store_on_txn);
+	platform_store_add_handler(store, server, "/v1/kv-lease",
+				   platform_store_on_lease_grant);
+	platform_store_add_handler(store, server, "/v1/kv-keep",
+				   platform_store_on_lease_renew);
+	platform_store_add_handler(store, server, "/v1/kv-lease-end",
+				   platform_store_on_lease_end);
 	fake_server_add_handler(server, "/fake/put", on_put, store);
 	fake_server_add_handler(server, "/fake/delete", on_put, store);
-	fake_server_add_handler(server, "/fake/calls", on_calls, store);
+	fake_server_add_handler(server, "/fake/calls", on_call_count, store);
 	platform_store_add_switches(store, server);
 	return store;
 }
 
-/* Call it when the server is gone; NULL is allowed. */
+/*
+ * Frees the store. Call it after fake_server_destroy(), since the server's
+ * handlers use the store. NULL is allowed.
+ */
 void platform_store_destroy(struct platform_store *store)
 {
 	if (!store)
 		return;
 	g_ptr_array_unref(store->watches);
 	g_ptr_array_unref(store->changes);
-	g_ptr_array_unref(store->held);
+	g_ptr_array_unref(store->held_changes);
 	g_hash_table_unref(store->leases);
-	g_ptr_array_unref(store->late);
-	g_ptr_array_unref(store->calls_served);
-	g_free(store->refused);
+	g_ptr_array_unref(store->delayed_calls);
+	g_ptr_array_unref(store->call_handlers);
+	g_free(store->refused_addresses);
 	g_free(store->refusal);
 	g_free(store);
 }
 
-/* Writes a key without a lease, as the operator and the engines do. */
+/*
+ * Writes a key without a lease, as the operator and the engines do. Value is
+ * plain text and is stored as base64.
+ */
 void platform_store_put(struct platform_store *store, const char *key,
 			const char *value)
 {
@@ -380,7 +411,10 @@
 		g_base64_encode((const guchar *)value, strlen(value)), 0);
 }
 
-/* How long the last watch was to wait, also one that was refused. */
+/*
+ * Returns the wait that the last watch asked for, in milliseconds and at most
+ * MAX_WAIT_MS. Watches that were refused count too.
+ */
 int64_t platform_store_last_wait_ms(const struct platform_store *store)
 {
 	return store->last_wait_ms;
--- a/fakes/platform_store.h
+++ b/fakes/platform_store.h
@@ -8,10 +8,10 @@
 G_BEGIN_DECLS
 
 /*
- * A stand-in for the platform's metadata store: keys with revisions, lists in
- * pages, watches that wait, changes under a condition and leases. The operator
- * and the engines write by POST /fake/put and /fake/delete; the faults are
- * switches.
+ * A fake of the platform's metadata store, with revisioned keys, paged
+ * listings, long-polling watches, conditional transactions and leases. The
+ * operator and the engines write with POST /fake/put and /fake/delete; faults
+ * are switched with POST /fake/mode.
  */
 struct platform_store;
 
--- a/fakes/platform_store_fault.c
+++ b/fakes/platform_store_fault.c
@@ -2,19 +2,19 @@
 
 #include <string.h>
 
-/* Where the engines' entries stand; they lapse like leases. */
-#define ENTRIES "servers/"
+/* Prefix of the engines' entries, which "lapse" deletes with the leases. */
+#define ENGINE_PREFIX "servers/"
 #define DEFAULT_REFUSAL "503"
 
-/* One kind of call, and what deals with it. */
-struct store_call {
+/* The handler of one path. */
+struct call_handler {
 	struct platform_store *store;
 	fake_server_handler run;
 };
 
-/* A call that a slow store has not got to. */
-struct late_call {
-	const struct store_call *call;
+/* A call whose handler runs after slow_ms. */
+struct delayed_call {
+	const struct call_handler *handler;
 	SoupServerMessage *message;
 	char *path;
 	guint timer;
@@ -48,18 +48,18 @@
 	{"none", refuse_by_silence, 0},
 };
 
-static bool is_refused(const struct platform_store *store,
-		       SoupServerMessage *message)
+static bool caller_is_refused(const struct platform_store *store,
+			      SoupServerMessage *message)
 {
 	GSocketAddress *from = soup_server_message_get_remote_address(message);
 	g_autofree char *address = NULL;
 	g_auto(GStrv) refused = NULL;
 
-	if (!store->refused || !G_IS_INET_SOCKET_ADDRESS(from))
+	if (!store->refused_addresses || !G_IS_INET_SOCKET_ADDRESS(from))
 		return false;
 	address = g_inet_address_to_string(
 		g_inet_socket_address_get_address(G_INET_SOCKET_ADDRESS(from)));
-	refused = g_strsplit(store->refused, ",", -1);
+	refused = g_strsplit(store->refused_addresses, ",", -1);
 	return g_strv_contains((const char *const *)refused, address);
 }
 
@@ -74,16 +74,20 @@
 			return;
 		}
 	}
-	g_warning("refusal %s is none of 503, 429, reset, none", name);
+	g_warning("unknown refusal %s: expected 503, 429, reset or none", name);
 	refuse_by_status(message, 503);
 }
 
-/* True when the call has been dealt with by a fault. */
-bool platform_store_fails(struct platform_store *store,
-			  SoupServerMessage *message)
+/*
+ * Counts a call and applies the faults that are switched on: refused callers,
+ * "silent" and "down". Returns true if a fault answered the call or left it
+ * without an answer; the handler then does nothing more.
+ */
+bool platform_store_inject_fault(struct platform_store *store,
+				 SoupServerMessage *message)
 {
-	store->calls++;
-	if (is_refused(store, message)) {
+	store->call_count++;
+	if (caller_is_refused(store, message)) {
 		refuse(store, message);
 		return true;
 	}
@@ -94,71 +98,79 @@
 	return store->silent || store->down;
 }
 
-/* Lets an answer go that is there; a call without one stays paused. */
-static void let_go(SoupServerMessage *message)
+/* Sends the answer if there is one; a call without one stays paused. */
+static void unpause_if_answered(SoupServerMessage *message)
 {
 	if (soup_server_message_get_status(message) != SOUP_STATUS_NONE)
 		soup_server_message_unpause(message);
 }
 
-/* Forgets a call that was to be dealt with later. */
-void platform_store_late_free(gpointer data)
+/* Cancels and frees a delayed call; its handler does not run. */
+void platform_store_delayed_free(gpointer data)
 {
-	struct late_call *late = data;
+	struct delayed_call *delayed = data;
 
-	if (late->timer)
-		g_source_remove(late->timer);
-	g_object_unref(late->message);
-	g_free(late->path);
-	g_free(late);
+	if (delayed->timer)
+		g_source_remove(delayed->timer);
+	g_object_unref(delayed->message);
+	g_free(delayed->path);
+	g_free(delayed);
 }
 
-static gboolean run_late(gpointer data)
+static gboolean run_delayed(gpointer data)
 {
-	struct late_call *late = data;
-	struct platform_store *store = late->call->store;
+	struct delayed_call *delayed = data;
+	struct platform_store *store = delayed->handler->store;
 
-	late->timer = 0;
-	late->call->run(store, late->message, late->path);
-	let_go(late->message);
-	g_ptr_array_remove(store->late, late);
+	delayed->timer = 0;
+	delayed->handler->run(store, delayed->message, delayed->path);
+	unpause_if_answered(delayed->message);
+	g_ptr_array_remove(store->delayed_calls, delayed);
 	return G_SOURCE_REMOVE;
 }
 
 static void on_call(void *data, SoupServerMessage *message, const char *path)
 {
-	const struct store_call *call = data;
-	struct platform_store *store = call->store;
-	struct late_call *late;
+	const struct call_handler *handler = data;
+	struct platform_store *store = handler->store;
+	struct delayed_call *delayed;
 
 	if (store->slow_ms <= 0) {
-		call->run(store, message, path);
+		handler->run(store, message, path);
 		return;
 	}
-	late = g_new0(struct late_call, 1);
-	late->call = call;
-	late->message = g_object_ref(message);
-	late->path = g_strdup(path);
-	g_ptr_array_add(store->late, late);
+	delayed = g_new0(struct delayed_call, 1);
+	delayed->handler = handler;
+	delayed->message = g_object_ref(message);
+	delayed->path = g_strdup(path);
+	g_ptr_array_add(store->delayed_calls, delayed);
 	soup_server_message_pause(message);
-	late->timer = g_timeout_add((guint)store->slow_ms, run_late, late);
+	delayed->timer =
+		g_timeout_add((guint)store->slow_ms, run_delayed, delayed);
 }
 
-/* Has run deal with the calls below path, under the faults. */
-void platform_store_serve(struct platform_store *store,
-			  struct fake_server *server, const char *path,
-			  fake_server_handler run)
+/*
+ * Registers run as the handler of the calls below path. With slow_ms set, it
+ * runs that long after a call arrives. Each handler applies the other faults
+ * with platform_store_inject_fault().
+ */
+void platform_store_add_handler(struct platform_store *store,
+				struct fake_server *server, const char *path,
+				fake_server_handler run)
 {
-	struct store_call *call = g_new(struct store_call, 1);
+	struct call_handler *handler = g_new(struct call_handler, 1);
 
-	*call = (struct store_call){store, run};
-	g_ptr_array_add(store->calls_served, call);
-	fake_server_add_handler(server, path, on_call, call);
+	*handler = (struct call_handler){store, run};
+	g_ptr_array_add(store->call_handlers, handler);
+	fake_server_add_handler(server, path, on_call, handler);
 }
 
-/* The revision that a read sees: that of some time ago if it may be stale. */
-int64_t platform_store_view(const struct platform_store *store,
-			    bool may_be_stale)
+/*
+ * Returns the revision that a read sees: the current one, or, if the read may
+ * be stale, the last one that is at least stale_ms old (0 if there is none).
+ */
+int64_t platform_store_read_revision(const struct platform_store *store,
+				     bool may_be_stale)
 {
 	int64_t until_us = g_get_monotonic_time() - store->stale_ms * 1000;
 	guint i = store->changes->len;
@@ -169,15 +181,15 @@
 		const struct item *item =
 			g_ptr_array_index(store->changes, i - 1);
 
-		if (item->at_us <= until_us)
+		if (item->written_us <= until_us)
 			return item->revision;
 		i--;
 	}
 	return 0;
 }
 
-/* Callers that are refused from now on don't keep what they wait for. */
-static void cut_refused_watches(struct platform_store *store)
+/* Refuses the waiting watches of callers that are now on the refused list. */
+static void abort_refused_watches(struct platform_store *store)
 {
 	for (guint i = store->watches->len; i-- > 0;) {
 		const struct watch *watch =
@@ -185,55 +197,56 @@
 		g_autoptr(SoupServerMessage) message =
 			g_object_ref(watch->message);
 
-		if (!is_refused(store, message))
+		if (!caller_is_refused(store, message))
 			continue;
 		g_ptr_array_remove_index(store->watches, i);
 		refuse(store, message);
-		let_go(message);
+		unpause_if_answered(message);
 	}
 }
 
-static void on_switch(void *data)
+static void on_modes_changed(void *data)
 {
 	struct platform_store *store = data;
 
-	cut_refused_watches(store);
+	abort_refused_watches(store);
 	if (store->down)
-		platform_store_cut_watches(store, 503);
-	if (store->lapse) {
-		platform_store_end_leases(store);
-		platform_store_remove_all(store, ENTRIES);
+		platform_store_abort_watches(store, 503);
+	if (store->expire_all) {
+		platform_store_expire_leases(store);
+		platform_store_delete_prefix(store, ENGINE_PREFIX);
 	}
-	store->lapse = false;
-	if (store->release)
-		platform_store_release(store);
-	store->release = false;
-	if (!store->forget)
+	store->expire_all = false;
+	if (store->apply_held)
+		platform_store_apply_held(store);
+	store->apply_held = false;
+	if (!store->drop_history)
 		return;
-	store->forget = false;
-	store->oldest = store->revision;
-	platform_store_cut_watches(store, 410);
+	store->drop_history = false;
+	store->oldest_revision = store->revision;
+	platform_store_abort_watches(store, 410);
 }
 
-/* The faults, as switches of POST /fake/mode. */
+/* Registers the faults as switches of POST /fake/mode. */
 void platform_store_add_switches(struct platform_store *store,
 				 struct fake_server *server)
 {
-	const struct fake_mode modes[MODES] = {
+	const struct fake_mode modes[MODE_COUNT] = {
 		{"down", FAKE_MODE_BOOL, &store->down},
 		{"silent", FAKE_MODE_BOOL, &store->silent},
-		{"forget", FAKE_MODE_BOOL, &store->forget},
-		{"lose", FAKE_MODE_BOOL, &store->lose},
-		{"hold", FAKE_MODE_BOOL, &store->hold},
-		{"release", FAKE_MODE_BOOL, &store->release},
-		{"pause", FAKE_MODE_BOOL, &store->pause},
-		{"lapse", FAKE_MODE_BOOL, &store->lapse},
+		{"forget", FAKE_MODE_BOOL, &store->drop_history},
+		{"lose", FAKE_MODE_BOOL, &store->lose_answers},
+		{"hold", FAKE_MODE_BOOL, &store->hold_next},
+		{"release", FAKE_MODE_BOOL, &store->apply_held},
+		{"pause", FAKE_MODE_BOOL, &store->pause_leases},
+		{"lapse", FAKE_MODE_BOOL, &store->expire_all},
 		{"slow_ms", FAKE_MODE_INT, &store->slow_ms},
 		{"stale_ms", FAKE_MODE_INT, &store->stale_ms},
-		{"refused", FAKE_MODE_STRING, &store->refused},
+		{"refused", FAKE_MODE_STRING, &store->refused_addresses},
 		{"refusal", FAKE_MODE_STRING, &store->refusal},
 	};
 
 	memcpy(store->modes, modes, sizeof(modes));
-	fake_server_set_modes(server, store->modes, MODES, on_switch, store);
+	fake_server_set_modes(server, store->modes, MODE_COUNT,
+			      on_modes_changed, store);
 }
--- a/fakes/platform_store_state.h
+++ b/fakes/platform_store_state.h
@@ -11,20 +11,22 @@
 G_BEGIN_DECLS
 
 /*
- * What the parts of the stand-in share. platform_store.c: keys, lists and
- * watches. platform_store_change.c: changes under a condition, leases.
- * platform_store_fault.c: the switches and what they do to calls.
+ * State and functions that the files of the fake store share.
+ * platform_store.c: keys, listings and watches. platform_store_change.c:
+ * transactions and leases. platform_store_fault.c: the switches and the faults
+ * that they inject into calls.
  */
 
-#define MODES 12
+#define MODE_COUNT 12
 
+/* One write or deletion of a key. */
 struct item {
 	char *key;
 	char *value; /* base64; NULL: deleted */
 	int64_t revision;
-	int64_t created;
-	int64_t lease; /* 0: none */
-	int64_t at_us; /* when it was written */
+	int64_t created_revision; /* the revision that created the key */
+	int64_t lease_id;	  /* 0: none */
+	int64_t written_us;	  /* monotonic time of the write */
 };
 
 struct lease {
@@ -34,77 +36,79 @@
 	guint timer;
 };
 
-/* A call that waits for changes. */
+/* A call that waits for changes below a prefix. */
 struct watch {
 	struct platform_store *store;
 	SoupServerMessage *message;
 	char *prefix;
-	int64_t after;
+	int64_t after_revision; /* later changes are sent */
 	guint timer;
 };
 
+/* Quoted words are the names of the switches in POST /fake/mode. */
 struct platform_store {
 	GPtrArray *changes; /* struct item, oldest first */
 	GPtrArray *watches; /* struct watch */
 	GHashTable *leases; /* id to struct lease */
 	int64_t next_lease;
 	int64_t revision;
-	int64_t oldest; /* watches from before this get 410 */
-	int64_t calls;
-	int64_t last_wait_ms; /* of the last watch */
-	bool down;	      /* 503 to all */
-	bool silent;	      /* takes calls and answers none */
-	bool forget;	      /* once: the history is dropped */
-	bool lose;	      /* changes are made and not answered */
-	bool hold;    /* once: a change is held back, and not answered */
-	bool release; /* once: what is held back is made, if it still can be */
-	GPtrArray *held;  /* JsonObject */
-	bool pause;	  /* leases don't run out while it is down */
-	bool lapse;	  /* once: all leases and entries are over */
-	int64_t slow_ms;  /* each call is dealt with so much later */
-	int64_t stale_ms; /* age of what reads that allow it are told */
-	char *refused;	  /* addresses of callers, with commas; NULL: none */
-	char *refusal;	  /* what they get, "503" if NULL */
-	struct fake_mode modes[MODES];
-	GPtrArray *calls_served; /* struct store_call */
-	GPtrArray *late;	 /* struct late_call */
+	int64_t oldest_revision; /* watches from before it get 410 */
+	int64_t call_count;
+	int64_t last_wait_ms;	 /* of the last watch */
+	bool down;		 /* all calls get 503 */
+	bool silent;		 /* calls are accepted and never answered */
+	bool drop_history;	 /* "forget", once: old changes are dropped */
+	bool lose_answers;	 /* "lose": changes are applied, not answered */
+	bool hold_next;		 /* "hold", once: holds the next change */
+	bool apply_held;	 /* "release", once: applies held changes */
+	GPtrArray *held_changes; /* JsonObject */
+	bool pause_leases; /* "pause": leases do not expire while it is down */
+	bool expire_all;   /* "lapse", once: ends leases, engine entries */
+	int64_t slow_ms;   /* each call is handled after this delay */
+	int64_t stale_ms;  /* age of the data that allow_stale reads get */
+	char *refused_addresses; /* "refused": comma-separated, or NULL */
+	char *refusal;		 /* how they are refused; NULL: 503 */
+	struct fake_mode modes[MODE_COUNT];
+	GPtrArray *call_handlers; /* struct call_handler */
+	GPtrArray *delayed_calls; /* struct delayed_call */
 };
 
 /* platform_store_change.c */
-void platform_store_release(struct platform_store *store);
+void platform_store_apply_held(struct platform_store *store);
 void platform_store_on_txn(void *data, SoupServerMessage *message,
 			   const char *path);
 void platform_store_lease_free(gpointer data);
-void platform_store_on_lease(void *data, SoupServerMessage *message,
-			     const char *path);
-void platform_store_on_keep(void *data, SoupServerMessage *message,
-			    const char *path);
+void platform_store_on_lease_grant(void *data, SoupServerMessage *message,
+				   const char *path);
+void platform_store_on_lease_renew(void *data, SoupServerMessage *message,
+				   const char *path);
 void platform_store_on_lease_end(void *data, SoupServerMessage *message,
 				 const char *path);
 
-void platform_store_end_leases(struct platform_store *store);
+void platform_store_expire_leases(struct platform_store *store);
 
 /* platform_store_fault.c */
-bool platform_store_fails(struct platform_store *store,
-			  SoupServerMessage *message);
-void platform_store_serve(struct platform_store *store,
-			  struct fake_server *server, const char *path,
-			  fake_server_handler run);
-void platform_store_late_free(gpointer late);
+bool platform_store_inject_fault(struct platform_store *store,
+				 SoupServerMessage *message);
+void platform_store_add_handler(struct platform_store *store,
+				struct fake_server *server, const char *path,
+				fake_server_handler run);
+void platform_store_delayed_free(gpointer data);
 void platform_store_add_switches(struct platform_store *store,
 				 struct fake_server *server);
-int64_t platform_store_view(const struct platform_store *store,
-			    bool may_be_stale);
+int64_t platform_store_read_revision(const struct platform_store *store,
+				     bool may_be_stale);
 
 /* platform_store.c */
 void platform_store_write(struct platform_store *store, const char *key,
-			  char *value, int64_t lease);
-void platform_store_cut_watches(struct platform_store *store, unsigned status);
+			  char *value, int64_t lease_id);
+void platform_store_abort_watches(struct platform_store *store,
+				  unsigned status);
 void platform_store_add_item(JsonBuilder *builder, const struct item *item);
 const struct item *platform_store_latest(const struct platform_store *store,
 					 const char *key);
-void platform_store_remove_all(struct platform_store *store,
-			       const char *prefix);
+void platform_store_delete_prefix(struct platform_store *store,
+				  const char *prefix);
 JsonBuilder *platform_store_page_begin(const char *list);
 
 G_END_DECLS
