--- a/fakes/fake_server.c
+++ b/fakes/fake_server.c
@@ -22,7 +22,7 @@
 	void *changed_data;
 	guint signals[2];
 	guint stall_timer;
-	GPtrArray *held; /* SoupServerMessage whose answers wait for the link */
+	GPtrArray *held_answers; /* SoupServerMessage answered while stalled */
 };
 
 struct handler {
@@ -32,8 +32,9 @@
 };
 
 /*
- * libsoup listens with a backlog of 10. Of 50 nodes' calls at once the kernel
- * drops the rest, and each comes again a second later.
+ * Binds a socket with a longer backlog than libsoup's 10: when 50 nodes connect
+ * at once, the kernel drops the connections beyond the backlog, and each is
+ * retried a second later.
  */
 static bool fake_server_bind(struct fake_server *server,
 			     GSocketAddress *address, GError **error)
@@ -51,8 +52,9 @@
 }
 
 /*
- * Parses "host:port" and listens there; port 0 takes a free one, which the
- * address then names. Returns false with a line on standard error.
+ * Parses "IP:PORT" and listens there. Port 0 selects a free port, which is then
+ * part of the server's address. On failure prints a line to standard error and
+ * returns false.
  */
 static bool fake_server_listen(struct fake_server *server, const char *text)
 {
@@ -85,15 +87,15 @@
 }
 
 /*
- * Reads the command line into options, --address and --help being added.
- * Returns false after a line on standard error that says what is wrong.
+ * Parses the command line into options, to which it adds --address and --help.
+ * On an error prints a line to standard error and returns false.
  */
 static bool parse_command_line(int argc, const char **argv,
 			       struct poptOption *options, char **address)
 {
 	struct poptOption table[] = {
 		{"address", 0, POPT_ARG_STRING, address, 0,
-		 "Where to listen; port 0 takes a free one", "IP:PORT"},
+		 "Address to listen on; port 0 selects a free port", "IP:PORT"},
 		{NULL, 0, POPT_ARG_INCLUDE_TABLE, options, 0, "Options:", NULL},
 		POPT_AUTOHELP POPT_TABLEEND};
 	poptContext context = poptGetContext(NULL, argc, argv, table, 0);
@@ -145,7 +147,7 @@
 	return NULL;
 }
 
-/* POST /fake/mode: sets the switches named in a JSON object. */
+/* POST /fake/mode: sets the modes named in a JSON object. */
 static void handle_mode(void *data, SoupServerMessage *message,
 			const char *path G_GNUC_UNUSED)
 {
@@ -182,8 +184,9 @@
 }
 
 /*
- * Parses the command line, with the daemon's own options, and listens. NULL
- * after a line on standard error where that fails: the daemon ends with 2.
+ * Parses the command line, with the daemon's own options, and listens. On
+ * failure prints a line to standard error and returns NULL; the daemon then
+ * exits with status 2.
  */
 struct fake_server *fake_server_create(int argc, const char **argv,
 				       struct poptOption *options)
@@ -199,7 +202,7 @@
 	server->soup = soup_server_new("server-header", "fake ", NULL);
 	server->loop = g_main_loop_new(NULL, FALSE);
 	server->handlers = g_ptr_array_new_with_free_func(g_free);
-	server->held = g_ptr_array_new_with_free_func(g_object_unref);
+	server->held_answers = g_ptr_array_new_with_free_func(g_object_unref);
 	if (!fake_server_listen(server, address ? address : "127.0.0.1:0")) {
 		fake_server_destroy(server);
 		server = NULL;
@@ -208,7 +211,7 @@
 	return server;
 }
 
-/* Closes all connections; NULL is allowed. */
+/* Closes all connections and frees the server; NULL is allowed. */
 void fake_server_destroy(struct fake_server *server)
 {
 	if (!server)
@@ -219,7 +222,7 @@
 		if (server->signals[i])
 			g_source_remove(server->signals[i]);
 	}
-	g_ptr_array_unref(server->held);
+	g_ptr_array_unref(server->held_answers);
 	soup_server_disconnect(server->soup);
 	g_object_unref(server->soup);
 	g_main_loop_unref(server->loop);
@@ -228,7 +231,7 @@
 	g_free(server);
 }
 
-/* An answer made while the link is stalled is held back, not dropped. */
+/* Answers given while the link is stalled are delayed, not dropped. */
 static void dispatch(SoupServer *soup G_GNUC_UNUSED, SoupServerMessage *message,
 		     const char *path, GHashTable *query G_GNUC_UNUSED,
 		     gpointer data)
@@ -241,12 +244,13 @@
 	    g_str_has_prefix(path, "/fake"))
 		return;
 	soup_server_message_pause(message);
-	g_ptr_array_add(server->held, g_object_ref(message));
+	g_ptr_array_add(server->held_answers, g_object_ref(message));
 }
 
 /*
- * Has handler answer requests for path and what lies below it. It sets the
- * answer at once, or pauses the message and answers later.
+ * Registers a handler for the requests to path and all paths below it. The
+ * handler sets the answer before it returns, or pauses the message and answers
+ * later.
  */
 void fake_server_add_handler(struct fake_server *server, const char *path,
 			     fake_server_handler handler, void *data)
@@ -258,7 +262,11 @@
 	soup_server_add_handler(server->soup, path, dispatch, entry, NULL);
 }
 
-/* The switches of POST /fake/mode; changed is called after each such call. */
+/*
+ * Sets the modes of POST /fake/mode. The array is not copied and must outlive
+ * the server's last request. changed, which may be NULL, is called after each
+ * successful POST and when a stall of the link ends.
+ */
 void fake_server_set_modes(struct fake_server *server,
 			   const struct fake_mode *modes, size_t count,
 			   fake_server_callback changed, void *data)
@@ -271,8 +279,8 @@
 }
 
 /*
- * Says that it listens and serves until SIGTERM or SIGINT; returns the exit
- * status.
+ * Prints the address and serves until SIGTERM or SIGINT. Returns the exit
+ * status of the process.
  */
 int fake_server_run(struct fake_server *server)
 {
@@ -284,28 +292,33 @@
 	return 0;
 }
 
-/* Where it listens, as host:port; for tests that run it in their own loop. */
+/*
+ * Returns the address it listens on, as IP:PORT; for tests that run the server
+ * in their own loop.
+ */
 const char *fake_server_address(const struct fake_server *server)
 {
 	return server->address;
 }
 
-static gboolean link_restored(gpointer data)
+static gboolean on_stall_ended(gpointer data)
 {
 	struct fake_server *server = data;
 
 	server->stall_timer = 0;
-	for (guint i = 0; i < server->held->len; i++)
-		soup_server_message_unpause(g_ptr_array_index(server->held, i));
-	g_ptr_array_set_size(server->held, 0);
+	for (guint i = 0; i < server->held_answers->len; i++)
+		soup_server_message_unpause(
+			g_ptr_array_index(server->held_answers, i));
+	g_ptr_array_set_size(server->held_answers, 0);
 	if (server->changed)
 		server->changed(server->changed_data);
 	return G_SOURCE_REMOVE;
 }
 
 /*
- * For stall_ms requests are taken and run, and nothing is sent; connections
- * stay open. Then the changed callback is called. 0 changes nothing.
+ * Stalls the link for stall_ms: requests are accepted and run, nothing is sent,
+ * and connections stay open. Then the changed callback is called. 0 has no
+ * effect.
  */
 void fake_server_stall_link(struct fake_server *server, int64_t stall_ms)
 {
@@ -313,16 +326,19 @@
 		return;
 	if (server->stall_timer)
 		g_source_remove(server->stall_timer);
-	server->stall_timer = g_timeout_add(stall_ms, link_restored, server);
+	server->stall_timer = g_timeout_add(stall_ms, on_stall_ended, server);
 }
 
-/* Whether streams must hold back what they have to send. */
+/* Returns whether the link is stalled: streams must then send nothing. */
 bool fake_server_link_stalled(const struct fake_server *server)
 {
 	return server->stall_timer != 0;
 }
 
-/* The body as a JSON object, to be unreferenced; NULL: 400 was answered. */
+/*
+ * Parses the request body as a JSON object, to be released with
+ * json_object_unref. On an error answers 400 and returns NULL.
+ */
 JsonObject *fake_message_read_json(SoupServerMessage *message)
 {
 	SoupMessageBody *body = soup_server_message_get_request_body(message);
@@ -341,7 +357,7 @@
 	return NULL;
 }
 
-/* Answers with what the builder holds and frees the builder. */
+/* Answers with the builder's JSON text and frees the builder. */
 void fake_message_answer_json(SoupServerMessage *message, unsigned status,
 			      JsonBuilder *builder)
 {
@@ -361,7 +377,7 @@
 					 SOUP_MEMORY_COPY, text, strlen(text));
 }
 
-/* Answers in Prometheus text. */
+/* Answers with metrics in the Prometheus text format. */
 void fake_message_answer_metrics(SoupServerMessage *message,
 				 const struct fake_metric *metrics,
 				 size_t count)
@@ -374,14 +390,17 @@
 	fake_message_answer_text(message, 200, text->str);
 }
 
-/* A header of the request; NULL: not sent. */
+/* Returns a header of the request, or NULL if it was not sent. */
 const char *fake_message_header(SoupServerMessage *message, const char *name)
 {
 	return soup_message_headers_get_one(
 		soup_server_message_get_request_headers(message), name);
 }
 
-/* Resets its connection, as a host does when the process there is gone. */
+/*
+ * Resets the connection of a message, as a host does after its server process
+ * has ended.
+ */
 void fake_message_reset(SoupServerMessage *message)
 {
 	GSocket *socket = soup_server_message_get_socket(message);
@@ -413,9 +432,9 @@
 }
 
 /*
- * Calls closed once when the caller closes its connection, also while nothing
- * is being sent: libsoup alone would notice at the next write. The caller of
- * this owns the source and destroys it when the answer is complete.
+ * Calls closed once when the client disconnects, also while nothing is sent to
+ * it: libsoup itself notices a disconnect only at the next write. The caller
+ * owns the returned source and destroys it when the answer is complete.
  */
 GSource *fake_message_on_close(SoupServerMessage *message,
 			       fake_server_callback closed, void *data)
--- a/fakes/fake_server.h
+++ b/fakes/fake_server.h
@@ -11,21 +11,26 @@
 G_BEGIN_DECLS
 
 /*
- * What all fakes share: the command line, `listening ADDRESS` on standard
- * output once ready, the end on SIGTERM, switches by POST /fake/mode, and a
- * link that can stall without closing. One loop, the default main context.
+ * The HTTP server that all fakes share: it parses the command line, prints
+ * `listening ADDRESS` to standard output once it is ready, ends on SIGTERM,
+ * sets modes by POST /fake/mode, and can simulate a link that stalls without
+ * closing. It runs in the default main context.
  */
 struct fake_server;
 
 enum fake_mode_type { FAKE_MODE_BOOL, FAKE_MODE_INT, FAKE_MODE_STRING };
 
-/* A switch; value points to a bool, an int64_t or a char * (g_free). */
+/*
+ * A setting of POST /fake/mode. value points to a bool, an int64_t or a char *;
+ * a replaced string is freed with g_free.
+ */
 struct fake_mode {
 	const char *name;
 	enum fake_mode_type type;
 	void *value;
 };
 
+/* A line of a fake's metrics. */
 struct fake_metric {
 	const char *name;
 	int64_t value;
--- a/fakes/fake_service.c
+++ b/fakes/fake_service.c
@@ -3,19 +3,19 @@
 
 #include <string.h>
 
-/* A request as it was run; runs counts those with the same body. */
+/* The runs of all requests with one body. */
 struct run {
-	char *path;
+	char *path; /* of the first request */
 	char *body_sha256;
-	int64_t runs;
+	int64_t runs; /* number of runs */
 };
 
 struct fake_service {
 	struct fake_server *server;
-	GHashTable *runs;      /* body_sha256: struct run */
-	GPtrArray *order;      /* struct run, by first run */
-	GPtrArray *unanswered; /* SoupServerMessage, while stalled */
-	int64_t open;	       /* calls not answered yet */
+	GHashTable *runs;	  /* struct run by body_sha256 */
+	GPtrArray *runs_in_order; /* struct run, ordered by first run */
+	GPtrArray *unanswered; /* SoupServerMessage to answer after the stall */
+	int64_t open_calls;    /* calls without a complete answer */
 
 	int64_t delay_ms;
 	int64_t status;
@@ -24,7 +24,7 @@
 	bool leaving;
 };
 
-/* An answer that waits for its delay. */
+/* An answer that is sent after a delay. */
 struct delayed_answer {
 	struct fake_service *service;
 	SoupServerMessage *message;
@@ -39,7 +39,7 @@
 	g_free(run);
 }
 
-/* Runs a call: from here on it has had its effect. */
+/* Counts a call as run, also if its answer is lost later. */
 static struct run *service_run(struct fake_service *service,
 			       SoupServerMessage *message, const char *path)
 {
@@ -53,7 +53,7 @@
 		run->path = g_strdup(path);
 		run->body_sha256 = hash;
 		g_hash_table_insert(service->runs, hash, run);
-		g_ptr_array_add(service->order, run);
+		g_ptr_array_add(service->runs_in_order, run);
 	} else {
 		g_free(hash);
 	}
@@ -84,10 +84,10 @@
 {
 	struct fake_service *service = data;
 
-	service->open--;
+	service->open_calls--;
 }
 
-static gboolean delay_ended(gpointer data)
+static gboolean on_delay_ended(gpointer data)
 {
 	struct delayed_answer *delayed = data;
 
@@ -101,7 +101,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Any path: runs the call and answers which run of this body it was. */
+/* Any path: runs the call and answers with the number of runs of its body. */
 static void handle_call(void *data, SoupServerMessage *message,
 			const char *path)
 {
@@ -115,7 +115,7 @@
 		close_without_answer(message);
 		return;
 	}
-	service->open++;
+	service->open_calls++;
 	g_signal_connect(message, "finished", G_CALLBACK(call_finished),
 			 service);
 	if (service->delay_ms > 0 || service->stall) {
@@ -125,7 +125,7 @@
 		*delayed =
 			(struct delayed_answer){service, g_object_ref(message)};
 		soup_server_message_pause(message);
-		g_timeout_add(service->delay_ms, delay_ended, delayed);
+		g_timeout_add(service->delay_ms, on_delay_ended, delayed);
 	}
 }
 
@@ -134,7 +134,7 @@
 {
 	const struct fake_service *service = data;
 	const struct fake_metric metrics[] = {
-		{"endpoint_requests_running", service->open},
+		{"endpoint_requests_running", service->open_calls},
 		{"endpoint_report_time_us", g_get_monotonic_time()},
 		{"endpoint_leaving", service->leaving},
 	};
@@ -142,7 +142,7 @@
 	fake_message_answer_metrics(message, metrics, G_N_ELEMENTS(metrics));
 }
 
-/* GET /fake/runs: what was run, one entry for each body. */
+/* GET /fake/runs: lists the runs, with one entry for each body. */
 static void handle_runs(void *data, SoupServerMessage *message,
 			const char *path G_GNUC_UNUSED)
 {
@@ -150,8 +150,9 @@
 	JsonBuilder *builder = json_builder_new();
 
 	json_builder_begin_array(builder);
-	for (guint i = 0; i < service->order->len; i++) {
-		const struct run *run = g_ptr_array_index(service->order, i);
+	for (guint i = 0; i < service->runs_in_order->len; i++) {
+		const struct run *run =
+			g_ptr_array_index(service->runs_in_order, i);
 
 		add_run(builder, run, run->path, "runs");
 	}
@@ -183,7 +184,7 @@
 	int status;
 
 	service->runs = g_hash_table_new(g_str_hash, g_str_equal);
-	service->order = g_ptr_array_new_with_free_func(run_destroy);
+	service->runs_in_order = g_ptr_array_new_with_free_func(run_destroy);
 	service->unanswered = g_ptr_array_new_with_free_func(g_object_unref);
 	fake_server_add_handler(service->server, "/", handle_call, service);
 	fake_server_add_handler(service->server, "/metrics", handle_metrics,
@@ -196,17 +197,17 @@
 
 	g_ptr_array_unref(service->unanswered);
 	g_hash_table_unref(service->runs);
-	g_ptr_array_unref(service->order);
+	g_ptr_array_unref(service->runs_in_order);
 	return status;
 }
 
-/* A plain service that tells which calls it ran, and how often. */
+/* A fake of an HTTP service; it records which calls it ran, and how often. */
 int main(int argc, const char **argv)
 {
 	struct fake_service service = {.status = 200};
 	long long delay_ms = 0;
 	struct poptOption table[] = {{"delay-ms", 0, POPT_ARG_LONGLONG,
-				      &delay_ms, 0, "From a call to its answer",
+				      &delay_ms, 0, "Delay of each answer",
 				      "MS"},
 				     POPT_TABLEEND};
 	int status;
--- a/fakes/fake_store.c
+++ b/fakes/fake_store.c
@@ -1,5 +1,6 @@
 #include "fakes/platform_store.h"
 
+/* A fake of the platform's store. */
 int main(int argc, const char **argv)
 {
 	struct poptOption options[] = {POPT_TABLEEND};
--- a/fakes/kv_gateway.c
+++ b/fakes/kv_gateway.c
@@ -10,7 +10,7 @@
 	const char *path;
 	const char *name;
 	bool writes;
-} calls[KV_CALLS] = {
+} calls[KV_CALL_COUNT] = {
 	[KV_CALL_RANGE] = {"/v3/kv/range", "range", false},
 	[KV_CALL_TXN] = {"/v3/kv/txn", "txn", true},
 	[KV_CALL_LEASE_GRANT] = {"/v3/lease/grant", "lease_grant", true},
@@ -20,7 +20,7 @@
 	[KV_CALL_WATCH] = {"/v3/watch", "watch", false},
 };
 
-/* Which call a path is; false: none. */
+/* Finds the call that a path names; returns false if there is none. */
 bool kv_gateway_find_call(const char *path, enum kv_call *call)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(calls); i++) {
@@ -32,13 +32,16 @@
 	return false;
 }
 
-/* Name of a call in the counts. */
+/* Returns the name of a call in GET /fake/calls. */
 const char *kv_call_name(enum kv_call call)
 {
 	return calls[call].name;
 }
 
-/* Whether a lost answer leaves the caller in doubt. */
+/*
+ * Returns whether a call writes: if its answer is lost, its outcome is in
+ * doubt.
+ */
 bool kv_call_writes(enum kv_call call)
 {
 	return calls[call].writes;
@@ -223,7 +226,7 @@
 	g_free(range_end);
 }
 
-/* One operation of a transaction; false: its lease is gone. */
+/* Runs one operation of a transaction; false if its lease does not exist. */
 static bool run_operation(struct kv_model *model, JsonObject *operation,
 			  JsonBuilder *builder)
 {
@@ -305,8 +308,8 @@
 }
 
 /*
- * Runs a call other than a watch, builds the whole answer and returns its
- * status.
+ * Runs a call other than a watch, writes the complete answer to the builder
+ * and returns its HTTP status.
  */
 unsigned kv_gateway_answer(struct kv_model *model, enum kv_call call,
 			   JsonObject *body, int64_t now_us,
@@ -338,8 +341,9 @@
 				"etcdserver: requested lease not found");
 		break;
 	case KV_CALL_WATCH:
-	case KV_CALLS:
-		status = answer_error(builder, 400, 3, "not answered at once");
+	case KV_CALL_COUNT:
+		status = answer_error(builder, 400, 3,
+				      "watch is not a unary call");
 		break;
 	}
 	if (status == 200)
@@ -347,8 +351,11 @@
 	return status;
 }
 
-/* Reads the request of a watch; false: it is none. */
-bool kv_gateway_watch_begin(const struct kv_model *model, JsonObject *body,
+/*
+ * Parses a watch request; the caller clears the watch. Returns false, with an
+ * empty watch, if the body has no create_request.
+ */
+bool kv_gateway_watch_parse(const struct kv_model *model, JsonObject *body,
 			    struct kv_gateway_watch *watch)
 {
 	JsonObject *create = json_member_object(body, "create_request");
@@ -364,7 +371,7 @@
 	return true;
 }
 
-/* Frees what a watch holds, not the struct itself. */
+/* Frees the members of a watch, not the struct itself. */
 void kv_gateway_watch_clear(struct kv_gateway_watch *watch)
 {
 	g_clear_pointer(&watch->key, g_free);
@@ -395,12 +402,13 @@
 }
 
 /*
- * The first line of a watch's stream. compacted: it starts too far back, the
- * line says so, and the stream ends with it.
+ * Returns the first line of a watch's stream, to be freed with g_free. Sets
+ * compacted if the start revision is older than the history: the line then
+ * cancels the watch, and the stream must end after it.
  */
-char *kv_gateway_watch_created(const struct kv_model *model,
-			       const struct kv_gateway_watch *watch,
-			       bool *compacted)
+char *kv_gateway_watch_created_line(const struct kv_model *model,
+				    const struct kv_gateway_watch *watch,
+				    bool *compacted)
 {
 	JsonBuilder *builder = begin_line(model);
 	int64_t oldest = kv_model_oldest_revision(model);
@@ -416,9 +424,12 @@
 	return end_line(builder);
 }
 
-/* The next line of a watch's stream, with one change, or NULL. */
-char *kv_gateway_watch_next(const struct kv_model *model,
-			    struct kv_gateway_watch *watch)
+/*
+ * Returns the next line of a watch's stream, with one change, to be freed with
+ * g_free, or NULL if there is no further change yet.
+ */
+char *kv_gateway_watch_next_line(const struct kv_model *model,
+				 struct kv_gateway_watch *watch)
 {
 	const struct kv_change *change =
 		kv_model_next_change(model, watch->key, watch->range_end,
--- a/fakes/kv_gateway.h
+++ b/fakes/kv_gateway.h
@@ -10,7 +10,10 @@
 
 G_BEGIN_DECLS
 
-/* The model behind the paths and bodies of etcd v3's JSON gateway. */
+/*
+ * Serves the key-value model with the paths and bodies of etcd v3's JSON
+ * gateway.
+ */
 
 enum kv_call {
 	KV_CALL_RANGE,
@@ -19,14 +22,15 @@
 	KV_CALL_LEASE_KEEPALIVE,
 	KV_CALL_LEASE_REVOKE,
 	KV_CALL_WATCH,
-	KV_CALLS
+	KV_CALL_COUNT
 };
 
+/* A watch of one key or range, from a revision on. */
 struct kv_gateway_watch {
 	char *key;
 	char *range_end;
 	int64_t start_revision;
-	uint64_t position;
+	uint64_t position; /* in the history, of the next search */
 };
 
 bool kv_gateway_find_call(const char *path, enum kv_call *call);
@@ -37,14 +41,14 @@
 			   JsonObject *body, int64_t now_us,
 			   JsonBuilder *answer);
 
-bool kv_gateway_watch_begin(const struct kv_model *model, JsonObject *body,
+bool kv_gateway_watch_parse(const struct kv_model *model, JsonObject *body,
 			    struct kv_gateway_watch *watch);
 void kv_gateway_watch_clear(struct kv_gateway_watch *watch);
-char *kv_gateway_watch_created(const struct kv_model *model,
-			       const struct kv_gateway_watch *watch,
-			       bool *compacted);
-char *kv_gateway_watch_next(const struct kv_model *model,
-			    struct kv_gateway_watch *watch);
+char *kv_gateway_watch_created_line(const struct kv_model *model,
+				    const struct kv_gateway_watch *watch,
+				    bool *compacted);
+char *kv_gateway_watch_next_line(const struct kv_model *model,
+				 struct kv_gateway_watch *watch);
 
 G_END_DECLS
 
--- a/fakes/kv_model.c
+++ b/fakes/kv_model.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-enum { HISTORY_MAX = 4096, FIRST_LEASE = 1000 };
+enum { MAX_HISTORY_CHANGES = 4096, FIRST_LEASE_ID = 1000 };
 
 struct kv_lease {
 	int64_t id;
@@ -16,13 +16,13 @@
 };
 
 struct kv_model {
-	GTree *items;		/* key to struct kv_item */
-	GHashTable *leases;	/* id to struct kv_lease */
-	GQueue history;		/* struct kv_change */
-	uint64_t history_first; /* position of the oldest one */
+	GTree *items;		/* struct kv_item by key */
+	GHashTable *leases;	/* struct kv_lease by id */
+	GQueue history;		/* struct kv_change, oldest first */
+	uint64_t history_first; /* position of the oldest change */
 	int64_t revision;
 	int64_t oldest_revision;
-	bool writing; /* the revision of this transaction is taken */
+	bool revision_taken; /* this transaction already has its revision */
 	int64_t next_lease;
 };
 
@@ -52,7 +52,7 @@
 	return strcmp(a, b);
 }
 
-/* An empty service at revision 1, as etcd starts. */
+/* Creates an empty service at revision 1, as etcd starts. */
 struct kv_model *kv_model_create(void)
 {
 	struct kv_model *model = g_new0(struct kv_model, 1);
@@ -63,7 +63,7 @@
 	g_queue_init(&model->history);
 	model->revision = 1;
 	model->oldest_revision = 1;
-	model->next_lease = FIRST_LEASE;
+	model->next_lease = FIRST_LEASE_ID;
 	return model;
 }
 
@@ -78,13 +78,13 @@
 	g_free(model);
 }
 
-/* The revision of the latest write. */
+/* Returns the revision of the latest write. */
 int64_t kv_model_revision(const struct kv_model *model)
 {
 	return model->revision;
 }
 
-/* The oldest revision that a watch may start from. */
+/* Returns the oldest revision that a watch may start from. */
 int64_t kv_model_oldest_revision(const struct kv_model *model)
 {
 	return model->oldest_revision;
@@ -92,7 +92,7 @@
 
 static void trim_history(struct kv_model *model)
 {
-	while (g_queue_get_length(&model->history) > HISTORY_MAX) {
+	while (g_queue_get_length(&model->history) > MAX_HISTORY_CHANGES) {
 		struct kv_change *change = g_queue_pop_head(&model->history);
 
 		model->oldest_revision = change->mod_revision + 1;
@@ -112,21 +112,21 @@
 	trim_history(model);
 }
 
-/* Starts a transaction: its writes share one revision, the next one. */
+/* Begins a transaction: all its writes get one revision, the next one. */
 void kv_model_begin(struct kv_model *model)
 {
-	model->writing = false;
+	model->revision_taken = false;
 }
 
-static int64_t take_revision(struct kv_model *model)
+static int64_t transaction_revision(struct kv_model *model)
 {
-	if (!model->writing)
+	if (!model->revision_taken)
 		model->revision++;
-	model->writing = true;
+	model->revision_taken = true;
 	return model->revision;
 }
 
-/* Whether a key stands where the comparison says; an absent key is at 0. */
+/* Returns whether a comparison holds; all targets of an absent key are 0. */
 bool kv_model_compare(const struct kv_model *model,
 		      const struct kv_compare *compare)
 {
@@ -145,7 +145,10 @@
 	return false;
 }
 
-/* Writes a key, bound to a lease if that is not 0; false: no such lease. */
+/*
+ * Writes a key and takes a reference to the value. The key is bound to the
+ * lease unless that is 0; returns false if the lease does not exist.
+ */
 bool kv_model_put(struct kv_model *model, const char *key, GBytes *value,
 		  int64_t lease)
 {
@@ -158,12 +161,12 @@
 		item = g_new0(struct kv_item, 1);
 		item->state.key = g_strdup(key);
 		item->state.create_revision =
-			model->revision + (model->writing ? 0 : 1);
+			model->revision + (model->revision_taken ? 0 : 1);
 		g_tree_insert(model->items, item->state.key, item);
 	}
 	g_clear_pointer(&item->state.value, g_bytes_unref);
 	item->state.value = g_bytes_ref(value);
-	item->state.mod_revision = take_revision(model);
+	item->state.mod_revision = transaction_revision(model);
 	item->state.version++;
 	item->lease = lease;
 	add_history(model, &item->state);
@@ -180,11 +183,11 @@
 struct item_search {
 	const char *key;
 	const char *range_end;
-	int64_t lease; /* 0: any */
+	int64_t lease; /* 0: search by key, else by lease */
 	GPtrArray *found;
 };
 
-static gboolean search_item(gpointer key, gpointer value, gpointer data)
+static gboolean match_item(gpointer key, gpointer value, gpointer data)
 {
 	struct item_search *search = data;
 	struct kv_item *item = value;
@@ -206,7 +209,7 @@
 		if (item)
 			g_ptr_array_add(search.found, item);
 	} else {
-		g_tree_foreach(model->items, search_item, &search);
+		g_tree_foreach(model->items, match_item, &search);
 	}
 	return search.found;
 }
@@ -217,13 +220,13 @@
 		struct kv_item *item = g_ptr_array_index(items, i);
 		struct kv_change change = {.key = item->state.key};
 
-		change.mod_revision = take_revision(model);
+		change.mod_revision = transaction_revision(model);
 		add_history(model, &change);
 		g_tree_remove(model->items, item->state.key);
 	}
 }
 
-/* Deletes a key or range and returns how many keys there were. */
+/* Deletes a key or range and returns the number of deleted keys. */
 int64_t kv_model_delete(struct kv_model *model, const char *key,
 			const char *range_end)
 {
@@ -236,8 +239,8 @@
 }
 
 /*
- * Appends struct kv_entry in order of key. range_end as in etcd: "" for the
- * one key, else all keys from key on and before range_end.
+ * Appends the entries of a key or range, ordered by key. range_end is as in
+ * etcd: "" selects the one key, else the range is [key, range_end).
  */
 void kv_model_range(const struct kv_model *model, const char *key,
 		    const char *range_end, GPtrArray *entries)
@@ -255,8 +258,8 @@
 }
 
 /*
- * Appends the entry of a key as it was at a revision; false: that is older
- * than what is kept, or yet to come.
+ * Appends the entry of a key as of a revision, if the key existed then. Returns
+ * false if the revision is older than the history or in the future.
  */
 bool kv_model_get_at(const struct kv_model *model, const char *key,
 		     int64_t revision, GPtrArray *entries)
@@ -295,7 +298,10 @@
 	return lease->id;
 }
 
-/* Renews a lease and returns its time to live in seconds, 0 if it is gone. */
+/*
+ * Renews a lease and returns its time to live in seconds, or 0 if it does not
+ * exist.
+ */
 int64_t kv_model_lease_keepalive(struct kv_model *model, int64_t id,
 				 int64_t now_us)
 {
@@ -307,7 +313,10 @@
 	return lease->ttl_s;
 }
 
-/* Ends a lease and deletes its keys in one revision; false: no such lease. */
+/*
+ * Revokes a lease and deletes its keys in one revision. Returns false if the
+ * lease does not exist.
+ */
 bool kv_model_lease_revoke(struct kv_model *model, int64_t id)
 {
 	GPtrArray *items;
@@ -329,7 +338,7 @@
 	return *left < *right ? -1 : *left > *right;
 }
 
-/* Ends the leases that ran out, in order of their ids. */
+/* Revokes the expired leases, ordered by id. */
 void kv_model_step(struct kv_model *model, int64_t now_us)
 {
 	GArray *due = g_array_new(FALSE, FALSE, sizeof(int64_t));
@@ -349,8 +358,8 @@
 	g_array_unref(due);
 }
 
-/* When the next lease runs out; INT64_MAX: none. */
-int64_t kv_model_next_due_us(const struct kv_model *model)
+/* Returns when the next lease expires; INT64_MAX if there is none. */
+int64_t kv_model_next_expiry_us(const struct kv_model *model)
 {
 	int64_t due_us = INT64_MAX;
 	GHashTableIter iter;
@@ -366,10 +375,10 @@
 }
 
 /*
- * The next change of a key or range with a revision of at least from, or NULL.
- * position starts at 0 and is moved past what was returned, so that a watch
- * goes on from it after later writes. The change is valid until the next
- * write.
+ * Returns the next change of a key or range whose revision is at least from, or
+ * NULL. position starts at 0 and is advanced past the returned change, so that
+ * a watch continues there after later writes. The change is valid until the
+ * next write.
  */
 const struct kv_change *kv_model_next_change(const struct kv_model *model,
 					     const char *key,
@@ -442,8 +451,8 @@
 }
 
 /*
- * Answers one request as the adapter would. For drivers without a network;
- * the answer is cleared by the caller.
+ * Answers one request as the network client would, for tests and benchmarks
+ * without a network. The caller clears the answer.
  */
 void kv_model_answer(struct kv_model *model, const struct kv_request *request,
 		     int64_t now_us, struct kv_answer *answer)
--- a/fakes/kv_server.c
+++ b/fakes/kv_server.c
@@ -7,14 +7,14 @@
 enum { MODE_COUNT = 7 };
 
 struct kv_server {
-	struct fake_server *frame;
+	struct fake_server *fake;
 	struct kv_model *model;
 	struct kv_server_modes modes;
-	struct fake_mode switches[MODE_COUNT];
-	uint64_t counts[KV_CALLS];
-	GPtrArray *watchers; /* struct watcher */
-	GPtrArray *held;     /* SoupServerMessage that get no answer */
-	GHashTable *timers;  /* GSource * of answers and changes still due */
+	struct fake_mode mode_table[MODE_COUNT];
+	uint64_t counts[KV_CALL_COUNT];
+	GPtrArray *watchers;	     /* struct watcher */
+	GPtrArray *stalled_messages; /* SoupServerMessage, never answered */
+	GHashTable *delayed_sources; /* GSource * of struct delayed_send */
 	guint lease_timer;
 };
 
@@ -52,21 +52,21 @@
 	soup_server_message_unpause(watcher->message);
 }
 
-static void watcher_pump(struct watcher *watcher)
+static void watcher_send_changes(struct watcher *watcher)
 {
 	char *line;
 
-	while ((line = kv_gateway_watch_next(watcher->server->model,
-					     &watcher->watch)))
+	while ((line = kv_gateway_watch_next_line(watcher->server->model,
+						  &watcher->watch)))
 		watcher_send(watcher, line);
 }
 
-static void pump_all(struct kv_server *server)
+static void send_changes(struct kv_server *server)
 {
 	if (server->modes.stall)
 		return;
 	for (guint i = 0; i < server->watchers->len; i++)
-		watcher_pump(g_ptr_array_index(server->watchers, i));
+		watcher_send_changes(g_ptr_array_index(server->watchers, i));
 }
 
 static void end_watches(struct kv_server *server)
@@ -83,30 +83,31 @@
 	g_ptr_array_set_size(server->watchers, 0);
 }
 
-struct delayed {
+/* Sends an answer, or changes to the watches, after a delay. */
+struct delayed_send {
 	struct kv_server *server;
 	GSource *source;
-	SoupServerMessage *message; /* NULL: pump the watches */
+	SoupServerMessage *message; /* NULL: send changes to watches */
 };
 
-static void delayed_free(gpointer data)
+static void delayed_send_free(gpointer data)
 {
-	struct delayed *delayed = data;
+	struct delayed_send *delayed_send = data;
 
-	g_clear_object(&delayed->message);
-	g_free(delayed);
+	g_clear_object(&delayed_send->message);
+	g_free(delayed_send);
 }
 
-static gboolean run_delayed(gpointer data)
+static gboolean run_delayed_send(gpointer data)
 {
-	struct delayed *delayed = data;
-	struct kv_server *server = delayed->server;
+	struct delayed_send *delayed_send = data;
+	struct kv_server *server = delayed_send->server;
 
-	if (delayed->message)
-		soup_server_message_unpause(delayed->message);
+	if (delayed_send->message)
+		soup_server_message_unpause(delayed_send->message);
 	else
-		pump_all(server);
-	g_hash_table_remove(server->timers, delayed->source);
+		send_changes(server);
+	g_hash_table_remove(server->delayed_sources, delayed_send->source);
 	return G_SOURCE_REMOVE;
 }
 
@@ -116,21 +117,21 @@
 	g_source_unref(data);
 }
 
-static void delay(struct kv_server *server, int64_t delay_ms,
-		  SoupServerMessage *message)
+static void schedule_send(struct kv_server *server, int64_t delay_ms,
+			  SoupServerMessage *message)
 {
-	struct delayed *delayed = g_new0(struct delayed, 1);
-
-	delayed->server = server;
-	delayed->source = g_timeout_source_new((guint)delay_ms);
-	delayed->message = message ? g_object_ref(message) : NULL;
-	g_source_set_callback(delayed->source, run_delayed, delayed,
-			      delayed_free);
-	g_source_attach(delayed->source, NULL);
-	g_hash_table_add(server->timers, delayed->source);
+	struct delayed_send *delayed_send = g_new0(struct delayed_send, 1);
+
+	delayed_send->server = server;
+	delayed_send->source = g_timeout_source_new((guint)delay_ms);
+	delayed_send->message = message ? g_object_ref(message) : NULL;
+	g_source_set_callback(delayed_send->source, run_delayed_send,
+			      delayed_send, delayed_send_free);
+	g_source_attach(delayed_send->source, NULL);
+	g_hash_table_add(server->delayed_sources, delayed_send->source);
 }
 
-static gboolean expire_leases(gpointer data)
+static gboolean on_lease_expiry(gpointer data)
 {
 	struct kv_server *server = data;
 
@@ -139,9 +140,9 @@
 	return G_SOURCE_REMOVE;
 }
 
-static void schedule_leases(struct kv_server *server)
+static void schedule_lease_expiry(struct kv_server *server)
 {
-	int64_t due_us = kv_model_next_due_us(server->model);
+	int64_t due_us = kv_model_next_expiry_us(server->model);
 	int64_t now_us = g_get_monotonic_time();
 
 	if (server->lease_timer)
@@ -150,26 +151,29 @@
 	if (due_us != INT64_MAX)
 		server->lease_timer =
 			g_timeout_add(MAX(due_us - now_us, 0) / 1000 + 1,
-				      expire_leases, server);
+				      on_lease_expiry, server);
 }
 
-/* Applies the switches, then brings leases and watches up to date. */
+/*
+ * Applies the modes, expires leases and sends pending changes to the watches.
+ * To be called after each change of the modes or the model.
+ */
 void kv_server_changed(struct kv_server *server)
 {
 	struct kv_server_modes *modes = &server->modes;
 
-	if (modes->lapse_lease)
-		kv_model_lease_revoke(server->model, modes->lapse_lease);
-	modes->lapse_lease = 0;
+	if (modes->expire_lease)
+		kv_model_lease_revoke(server->model, modes->expire_lease);
+	modes->expire_lease = 0;
 	if (modes->down || modes->close_watches)
 		end_watches(server);
 	modes->close_watches = false;
 	kv_model_step(server->model, g_get_monotonic_time());
-	schedule_leases(server);
+	schedule_lease_expiry(server);
 	if (modes->watch_delay_ms > 0)
-		delay(server, modes->watch_delay_ms, NULL);
+		schedule_send(server, modes->watch_delay_ms, NULL);
 	else
-		pump_all(server);
+		send_changes(server);
 }
 
 static void on_mode_changed(void *data)
@@ -193,11 +197,11 @@
 	bool compacted;
 	char *line;
 
-	if (!kv_gateway_watch_begin(server->model, body, &watch)) {
+	if (!kv_gateway_watch_parse(server->model, body, &watch)) {
 		fake_message_answer_text(message, 400, "no create_request\n");
 		return;
 	}
-	line = kv_gateway_watch_created(server->model, &watch, &compacted);
+	line = kv_gateway_watch_created_line(server->model, &watch, &compacted);
 	if (compacted) {
 		kv_gateway_watch_clear(&watch);
 		fake_message_answer_text(message, 200, line);
@@ -219,7 +223,7 @@
 		soup_server_message_get_response_body(message), FALSE);
 	watcher_send(watcher, line);
 	if (server->modes.watch_delay_ms == 0)
-		watcher_pump(watcher);
+		watcher_send_changes(watcher);
 }
 
 static void handle_call(struct kv_server *server, SoupServerMessage *message,
@@ -252,7 +256,8 @@
 	server->counts[call]++;
 	if (server->modes.stall) {
 		soup_server_message_pause(message);
-		g_ptr_array_add(server->held, g_object_ref(message));
+		g_ptr_array_add(server->stalled_messages,
+				g_object_ref(message));
 		return;
 	}
 	if (server->modes.down) {
@@ -269,7 +274,7 @@
 	json_object_unref(body);
 	if (server->modes.slow_ms > 0 && call != KV_CALL_WATCH) {
 		soup_server_message_pause(message);
-		delay(server, server->modes.slow_ms, message);
+		schedule_send(server, server->modes.slow_ms, message);
 	}
 }
 
@@ -281,7 +286,7 @@
 
 	(void)path;
 	json_builder_begin_object(builder);
-	for (int i = 0; i < KV_CALLS; i++) {
+	for (int i = 0; i < KV_CALL_COUNT; i++) {
 		json_builder_set_member_name(builder,
 					     kv_call_name((enum kv_call)i));
 		json_builder_add_int_value(builder, (gint64)server->counts[i]);
@@ -291,68 +296,72 @@
 	fake_message_answer_json(message, 200, builder);
 }
 
-static void set_switches(struct kv_server *server)
+static void register_modes(struct kv_server *server)
 {
 	struct kv_server_modes *modes = &server->modes;
-	const struct fake_mode switches[MODE_COUNT] = {
+	const struct fake_mode mode_table[MODE_COUNT] = {
 		{"down", FAKE_MODE_BOOL, &modes->down},
 		{"stall", FAKE_MODE_BOOL, &modes->stall},
 		{"slow_ms", FAKE_MODE_INT, &modes->slow_ms},
 		{"lose_answers", FAKE_MODE_INT, &modes->lose_answers},
-		{"lapse_lease", FAKE_MODE_INT, &modes->lapse_lease},
+		{"lapse_lease", FAKE_MODE_INT, &modes->expire_lease},
 		{"watch_delay_ms", FAKE_MODE_INT, &modes->watch_delay_ms},
 		{"close_watches", FAKE_MODE_BOOL, &modes->close_watches},
 	};
 
-	memcpy(server->switches, switches, sizeof(switches));
-	fake_server_set_modes(server->frame, server->switches, MODE_COUNT,
+	memcpy(server->mode_table, mode_table, sizeof(mode_table));
+	fake_server_set_modes(server->fake, server->mode_table, MODE_COUNT,
 			      on_mode_changed, server);
 }
 
-/* Serves an empty key-value service within the frame. */
-struct kv_server *kv_server_create(struct fake_server *frame)
+/*
+ * Adds an empty key-value service to a fake, which must not serve any more
+ * after kv_server_destroy().
+ */
+struct kv_server *kv_server_create(struct fake_server *fake)
 {
 	struct kv_server *server = g_new0(struct kv_server, 1);
 
-	server->frame = frame;
+	server->fake = fake;
 	server->model = kv_model_create();
 	server->watchers = g_ptr_array_new_with_free_func(watcher_destroy);
-	server->held = g_ptr_array_new_with_free_func(g_object_unref);
-	server->timers =
+	server->stalled_messages =
+		g_ptr_array_new_with_free_func(g_object_unref);
+	server->delayed_sources =
 		g_hash_table_new_full(NULL, NULL, destroy_source, NULL);
-	set_switches(server);
-	fake_server_add_handler(frame, "/v3", handle_v3, server);
-	fake_server_add_handler(frame, "/fake/calls", handle_calls, server);
+	register_modes(server);
+	fake_server_add_handler(fake, "/v3", handle_v3, server);
+	fake_server_add_handler(fake, "/fake/calls", handle_calls, server);
 	return server;
 }
 
-/* Frees the service, not the frame, which must not serve any more after. */
+/* Frees the service, not the fake that served it; NULL is allowed. */
 void kv_server_destroy(struct kv_server *server)
 {
 	if (!server)
 		return;
 	if (server->lease_timer)
 		g_source_remove(server->lease_timer);
-	g_hash_table_unref(server->timers);
+	g_hash_table_unref(server->delayed_sources);
 	g_ptr_array_unref(server->watchers);
-	g_ptr_array_unref(server->held);
+	g_ptr_array_unref(server->stalled_messages);
 	kv_model_destroy(server->model);
 	g_free(server);
 }
 
-/* The model that is served. */
+/* Returns the served model, which the server owns. */
 struct kv_model *kv_server_model(struct kv_server *server)
 {
 	return server->model;
 }
 
-/* The switches; call kv_server_changed() after setting them. */
+/* Returns the modes; call kv_server_changed() after a change to them. */
 struct kv_server_modes *kv_server_modes(struct kv_server *server)
 {
 	return &server->modes;
 }
 
-/* How often a call has come, answered or not. */
+/* Returns the number of requests of a call, answered or not. */
 uint64_t kv_server_count(const struct kv_server *server, enum kv_call call)
 {
 	return server->counts[call];
--- a/fakes/kv_server.h
+++ b/fakes/kv_server.h
@@ -12,22 +12,23 @@
 G_BEGIN_DECLS
 
 /*
- * The key-value model served on the gateway's paths, with the switches of
- * POST /fake/mode and the counts of GET /fake/calls.
+ * Serves the key-value model over HTTP with the paths of etcd's JSON gateway.
+ * POST /fake/mode sets the modes below; GET /fake/calls returns the number of
+ * requests of each call.
  */
 struct kv_server_modes {
-	bool down;		/* 503 to all, and watches end */
-	bool stall;		/* takes requests, applies and answers none */
-	int64_t slow_ms;	/* each answer so much later */
-	int64_t lose_answers;	/* so many writes are applied, then closed */
-	int64_t lapse_lease;	/* ends this lease at once */
-	int64_t watch_delay_ms; /* each change reaches watches so much later */
-	bool close_watches;	/* once, when set */
+	bool down;		/* answer 503 to all requests, end watches */
+	bool stall;		/* accept requests, apply and answer none */
+	int64_t slow_ms;	/* delay of each answer, except to a watch */
+	int64_t lose_answers;	/* apply this many writes unanswered */
+	int64_t expire_lease;	/* revoke the lease with this id at once */
+	int64_t watch_delay_ms; /* delay of each change to the watches */
+	bool close_watches;	/* close the open watches once */
 };
 
 struct kv_server;
 
-struct kv_server *kv_server_create(struct fake_server *frame);
+struct kv_server *kv_server_create(struct fake_server *fake);
 void kv_server_destroy(struct kv_server *server);
 struct kv_model *kv_server_model(struct kv_server *server);
 struct kv_server_modes *kv_server_modes(struct kv_server *server);
--- a/fakes/load_history.h
+++ b/fakes/load_history.h
@@ -9,7 +9,7 @@
 
 G_BEGIN_DECLS
 
-/* An engine's load over the last while, so that a report can be late. */
+/* A ring of an engine's recent loads, from which delayed reports are read. */
 struct load_history;
 
 struct load_history *load_history_create(int64_t span_us);
--- a/fakes/vm_list_server.c
+++ b/fakes/vm_list_server.c
@@ -3,8 +3,8 @@
 struct vm_list_server {
 	int64_t lag_ms;
 	bool down;
-	struct fake_mode switches[2];
-	GBytes *shown;
+	struct fake_mode modes[2];
+	GBytes *current;
 	GPtrArray *pending; /* struct pending_list, oldest first */
 };
 
@@ -24,14 +24,14 @@
 	g_free(pending);
 }
 
-static gboolean show_list(gpointer data)
+static gboolean publish_list(gpointer data)
 {
 	struct pending_list *pending = data;
 	struct vm_list_server *server = pending->server;
 
 	pending->timer = 0;
-	g_bytes_unref(server->shown);
-	server->shown = g_bytes_ref(pending->text);
+	g_bytes_unref(server->current);
+	server->current = g_bytes_ref(pending->text);
 	g_ptr_array_remove(server->pending, pending);
 	return G_SOURCE_REMOVE;
 }
@@ -51,7 +51,7 @@
 	pending->text = soup_message_body_flatten(
 		soup_server_message_get_request_body(message));
 	pending->timer =
-		g_timeout_add((guint)server->lag_ms, show_list, pending);
+		g_timeout_add((guint)server->lag_ms, publish_list, pending);
 	g_ptr_array_add(server->pending, pending);
 	fake_message_answer_text(message, 200, "ok\n");
 }
@@ -60,7 +60,7 @@
 {
 	struct vm_list_server *server = data;
 	gsize size;
-	const char *text = g_bytes_get_data(server->shown, &size);
+	const char *text = g_bytes_get_data(server->current, &size);
 
 	(void)path;
 	if (server->down) {
@@ -72,32 +72,35 @@
 					 SOUP_MEMORY_COPY, text, size);
 }
 
-/* Serves an empty list; each new one is shown lag_ms after it was set. */
-struct vm_list_server *vm_list_server_create(struct fake_server *frame,
+/*
+ * Adds an empty list to a fake; each new list is served lag_ms after it was
+ * set. The fake must not serve any more after vm_list_server_destroy().
+ */
+struct vm_list_server *vm_list_server_create(struct fake_server *fake,
 					     int64_t lag_ms)
 {
 	static const char empty[] = "{\"vms\":[]}";
 	struct vm_list_server *server = g_new0(struct vm_list_server, 1);
 
 	server->lag_ms = lag_ms;
-	server->shown = g_bytes_new_static(empty, sizeof(empty) - 1);
+	server->current = g_bytes_new_static(empty, sizeof(empty) - 1);
 	server->pending = g_ptr_array_new_with_free_func(pending_list_destroy);
-	server->switches[0] =
+	server->modes[0] =
 		(struct fake_mode){"down", FAKE_MODE_BOOL, &server->down};
-	server->switches[1] =
+	server->modes[1] =
 		(struct fake_mode){"lag_ms", FAKE_MODE_INT, &server->lag_ms};
-	fake_server_set_modes(frame, server->switches, 2, NULL, NULL);
-	fake_server_add_handler(frame, "/fake/vms", handle_set, server);
-	fake_server_add_handler(frame, "/v1/vms", handle_get, server);
+	fake_server_set_modes(fake, server->modes, 2, NULL, NULL);
+	fake_server_add_handler(fake, "/fake/vms", handle_set, server);
+	fake_server_add_handler(fake, "/v1/vms", handle_get, server);
 	return server;
 }
 
-/* Frees the list, not the frame, which must not serve any more after. */
+/* Frees the list, not the fake that served it; NULL is allowed. */
 void vm_list_server_destroy(struct vm_list_server *server)
 {
 	if (!server)
 		return;
 	g_ptr_array_unref(server->pending);
-	g_bytes_unref(server->shown);
+	g_bytes_unref(server->current);
 	g_free(server);
 }
--- a/fakes/vm_list_server.h
+++ b/fakes/vm_list_server.h
@@ -9,12 +9,12 @@
 G_BEGIN_DECLS
 
 /*
- * GET /v1/vms answers the list that POST /fake/vms set last, so much later;
- * the switch "down" makes it answer 503.
+ * Serves a VM list: POST /fake/vms sets it, and GET /v1/vms returns it once a
+ * lag has passed. While the mode "down" is set, GET answers 503.
  */
 struct vm_list_server;
 
-struct vm_list_server *vm_list_server_create(struct fake_server *frame,
+struct vm_list_server *vm_list_server_create(struct fake_server *fake,
 					     int64_t lag_ms);
 void vm_list_server_destroy(struct vm_list_server *server);
 
--- a/tests/kv_recorder.h
+++ b/tests/kv_recorder.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-/* What a client of a key-value service delivers, copied. */
+/* Copies of the answers and changes that a key-value client delivers. */
 struct kv_recorded_answer {
 	uint64_t id;
 	enum kv_outcome outcome;
@@ -29,7 +29,7 @@
 struct kv_recorder {
 	std::vector<kv_recorded_answer> answers;
 	std::vector<kv_recorded_change> changes;
-	bool in_apply = false; /* nothing may be delivered from inside apply */
+	bool in_apply = false; /* set during apply, which must not deliver */
 
 	struct event_sink sink();
 };
