--- a/bench/world.c
+++ b/bench/world.c
@@ -6,7 +6,10 @@
 
 #define CONFIG_KEY "/siskinlink/config"
 
-/* 8 nodes, 10 engines and 3 plain endpoints on quick and honest links. */
+/*
+ * Sets 8 nodes, 10 engines and 3 plain endpoints, short delays and no faults.
+ * Times are in microseconds of virtual time.
+ */
 void world_options_default(struct world_options *options)
 {
 	memset(options, 0, sizeof(*options));
@@ -28,7 +31,11 @@
 	options->prefix_percent = 50;
 }
 
-/* A world at time 0 in which all nodes have just started. */
+/*
+ * Creates a world at time 0 in which all nodes have just started. The caller
+ * frees it with world_destroy. Options and listener are copied; listener may be
+ * NULL.
+ */
 struct world *world_create(const struct world_options *options,
 			   const struct world_listener *listener)
 {
@@ -43,8 +50,8 @@
 	world->endpoint_count = options->engine_count + options->plain_count;
 	world->party_count = options->node_count + world->endpoint_count + 1;
 	world->cut = g_new0(bool, world->party_count * world->party_count);
-	world->roots = g_array_new(FALSE, TRUE, sizeof(uint64_t));
-	g_array_set_size(world->roots, 1);
+	world->root_calls = g_array_new(FALSE, TRUE, sizeof(uint64_t));
+	g_array_set_size(world->root_calls, 1);
 	world->callers = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					       NULL, world_caller_destroy);
 	world->kv = kv_model_create();
@@ -54,7 +61,7 @@
 	return world;
 }
 
-/* Ends everything where it is, without telling anybody; NULL is allowed. */
+/* Frees the world without calling the listener; NULL is allowed. */
 void world_destroy(struct world *world)
 {
 	if (!world)
@@ -62,7 +69,7 @@
 	event_queue_destroy(world->queue);
 	world_nodes_destroy(world);
 	g_hash_table_unref(world->callers);
-	g_array_unref(world->roots);
+	g_array_unref(world->root_calls);
 	world_endpoints_destroy(world);
 	g_ptr_array_unref(world->watches);
 	kv_model_destroy(world->kv);
@@ -72,13 +79,13 @@
 	g_free(world);
 }
 
-/* Has run called at this time, whoever lives then. */
+/* Schedules run at at_us, whichever nodes are alive then. */
 void world_post(struct world *world, int64_t at_us, event_callback run,
 		void *data, GDestroyNotify destroy)
 {
 	struct queued item = {
 		.at_us = at_us,
-		.node = NOT_BOUND,
+		.node = INDEX_NONE,
 		.run = run,
 		.data = data,
 		.destroy = destroy,
@@ -88,8 +95,9 @@
 }
 
 /*
- * Has run called at this time, or when the node goes on after a pause. Not
- * called, and data destroyed, when the node's process is gone by then.
+ * Schedules run at at_us, or at the end of the node's pause if it is paused
+ * then. If the node's process has ended by then, run is not called and data is
+ * destroyed.
  */
 void world_post_node(struct world *world, int64_t at_us, int32_t node,
 		     event_callback run, void *data, GDestroyNotify destroy)
@@ -110,7 +118,7 @@
 {
 	struct world_node *node;
 
-	if (item->node == NOT_BOUND) {
+	if (item->node == INDEX_NONE) {
 		item->run(world, item->data);
 		queued_clear(item);
 		return;
@@ -121,14 +129,15 @@
 		return;
 	}
 	if (node->paused) {
-		g_queue_push_tail(&node->held, g_memdup2(item, sizeof(*item)));
+		g_queue_push_tail(&node->deferred,
+				  g_memdup2(item, sizeof(*item)));
 		return;
 	}
 	item->run(world, item->data);
 	queued_clear(item);
 }
 
-/* Lets everything happen that is due until then. */
+/* Runs all events due up to until_us and advances the time to it. */
 void world_run_until(struct world *world, int64_t until_us)
 {
 	struct queued item;
@@ -141,20 +150,20 @@
 	world->now_us = MAX(world->now_us, until_us);
 }
 
-/* The virtual time; 0 at creation. */
+/* Returns the virtual time in microseconds; it is 0 at creation. */
 int64_t world_now_us(const struct world *world)
 {
 	return world->now_us;
 }
 
-/* Has callback called once; data stays the caller's. */
+/* Calls callback once at at_us. The caller keeps ownership of data. */
 void world_at(struct world *world, int64_t at_us, world_callback callback,
 	      void *data)
 {
 	world_post(world, at_us, callback, data, NULL);
 }
 
-/* A delay between half and twice the mean. */
+/* Draws a delay between half and twice mean_us; below 2 it is not varied. */
 int64_t world_delay_us(struct world *world, int64_t mean_us)
 {
 	if (mean_us < 2)
@@ -163,44 +172,51 @@
 	       (int64_t)(g_rand_double(world->random) * 1.5 * mean_us);
 }
 
-/* True so many times in a thousand. */
+/* Returns true with a probability of permille in a thousand. */
 bool world_chance(struct world *world, int32_t permille)
 {
 	return permille > 0 &&
 	       g_rand_int_range(world->random, 0, 1000) < permille;
 }
 
+/* Returns the number of a node as one end of a link. */
 int32_t world_party_node(const struct world *world G_GNUC_UNUSED, int32_t node)
 {
 	return node;
 }
 
+/* Returns the number of an endpoint as one end of a link. */
 int32_t world_party_endpoint(const struct world *world, int32_t endpoint)
 {
 	return world->options.node_count + endpoint;
 }
 
+/* Returns the number of the key-value service as one end of a link. */
 int32_t world_party_kv(const struct world *world)
 {
 	return world->party_count - 1;
 }
 
-/* Whether nothing gets from one party to the other. */
+/* Returns whether the link is cut in this direction. */
 bool world_link_cut(const struct world *world, int32_t from, int32_t to)
 {
 	return world->cut[from * world->party_count + to];
 }
 
 /*
- * Cuts or heals one direction of a link. What is on a connection waits for it
- * to heal, as TCP would resend it; messages between nodes are lost.
+ * Cuts or restores one direction of a link. Answers on a connection are delayed
+ * until the link is restored, as TCP would resend them; messages between nodes
+ * are lost.
  */
 void world_cut_link(struct world *world, int32_t from, int32_t to, bool cut)
 {
 	world->cut[from * world->party_count + to] = cut;
 }
 
-/* All endpoints, engines as "model" and the others as "portal". */
+/*
+ * Creates a configuration with all engines in the service "model" and all plain
+ * endpoints in the service "portal". The caller unrefs it.
+ */
 struct config *world_create_config(const struct world *world)
 {
 	struct config *config = config_create();
@@ -227,7 +243,10 @@
 	return config;
 }
 
-/* Adds an organisation without limits; its bearer key is its name. */
+/*
+ * Adds an organisation without limits, whose bearer key is its name. The
+ * configuration owns the result.
+ */
 struct config_organisation *world_add_organisation(struct config *config,
 						   const char *name)
 {
@@ -242,8 +261,8 @@
 }
 
 /*
- * Writes a configuration as if an operator's confirmation had, and returns its
- * revision.
+ * Writes a configuration to the key-value service, as the confirmation of an
+ * operator would, and returns its revision.
  */
 int64_t world_put_config(struct world *world, const struct config *config)
 {
@@ -256,6 +275,7 @@
 	return kv_model_revision(world->kv);
 }
 
+/* Returns all struct world_run in order of arrival; the world owns them. */
 const GPtrArray *world_runs(const struct world *world)
 {
 	return world->runs;
--- a/bench/world.h
+++ b/bench/world.h
@@ -14,70 +14,71 @@
 G_BEGIN_DECLS
 
 /*
- * Drives nodes in one process and in virtual time: turns their actions into
- * effects on model engines, plain endpoints, a key-value service and one
- * another, and the effects into events. The same seed gives the same run.
+ * Deterministic simulation of a cluster in one process and in virtual time. It
+ * executes the actions of the nodes on model engines, plain endpoints, a model
+ * key-value service and the other nodes, and returns the effects to the nodes
+ * as events. The same seed gives the same run.
  *
  * Nodes and endpoints are numbered from 0; engines come before plain
- * endpoints. A link joins two parties, see world_party_*.
+ * endpoints. A link connects two parties (nodes, endpoints and the key-value
+ * service), see world_party_*.
  *
- * A generation is as long as the mark [[tokens=N]] in its request's body says,
- * or of a length drawn from the body. [[poison]] in a body crashes the endpoint
- * that runs it.
+ * The mark [[tokens=N]] in a request's body sets the length of its generation;
+ * without it the length is derived from the body and the seed. The mark
+ * [[poison]] crashes the endpoint that runs the request.
  */
 struct world_options {
 	uint64_t seed;
 	int32_t node_count;
 	int32_t engine_count;
 	int32_t plain_count;
-	struct node_options node; /* names, addresses and seeds are set here */
+	struct node_options node; /* names, addresses and seeds are replaced */
 	struct engine_model_options engine;
-	int64_t client_delay_us; /* each delay varies between half and twice */
+	int64_t client_delay_us; /* each delay is between half and twice this */
 	int64_t peer_delay_us;
 	int64_t endpoint_delay_us;
 	int64_t kv_delay_us;
-	int64_t chunk_us; /* tokens made within it come as one chunk; 0: each */
-	int64_t hold_us;  /* a generation's life without a reader */
-	int64_t plain_us; /* a plain endpoint's time for a call */
-	int64_t restart_us; /* from an endpoint's crash to its return; 0: never
-			     */
+	int64_t chunk_us; /* interval between chunks; 0: a chunk per output */
+	int64_t hold_us;  /* a generation is kept this long without a reader */
+	int64_t plain_us; /* a call at a plain endpoint; half to twice this */
+	int64_t restart_us; /* from a crash to the restart; 0: never */
 	int64_t connect_timeout_us;
-	int64_t vm_list_lag_us;
-	int64_t vm_list_poll_us;
-	bool seeds_are_gone;	/* nobody is at the addresses of the settings */
-	int32_t prefix_percent; /* of a prompt that its prefix hash covers */
+	int64_t vm_list_lag_us; /* until the VM list shows a leaving endpoint */
+	int64_t vm_list_poll_us; /* interval at which each node reads it */
+	bool seeds_are_gone;	 /* the seed addresses belong to no node */
+	int32_t prefix_percent;	 /* of a prompt, covered by its prefix hash */
 	int32_t peer_drop_permille; /* of peer messages */
 	int32_t peer_double_permille;
-	int32_t peer_late_permille;  /* seconds late, behind newer ones */
+	int32_t peer_late_permille;  /* delayed by seconds, behind newer ones */
 	int32_t chunk_drop_permille; /* of an engine's chunks */
 	int32_t chunk_double_permille;
-	int32_t chunk_cross_permille; /* overtaken by the next */
+	int32_t chunk_cross_permille; /* swapped with the event before */
 };
 
-/* One run of a request at an endpoint, from its arrival there. */
+/* One run of a request at an endpoint. */
 struct world_run {
 	uint64_t number; /* from 1 on */
 	int32_t endpoint;
-	int32_t node;  /* that sent it */
-	uint64_t call; /* as world_call named it */
+	int32_t node;  /* that sent the request */
+	uint64_t call; /* number that world_call returned */
 	struct request *request;
-	int64_t at_us;
-	int64_t tokens; /* made */
-	int64_t output_tokens;
+	int64_t at_us;	       /* time of arrival */
+	int64_t tokens;	       /* generated so far */
+	int64_t output_tokens; /* length of the whole output */
 	bool finished;
 	char generation[32]; /* "" for plain endpoints */
 };
 
 struct world;
 
-/* What the user of the world is told; any may be NULL. */
+/* Callbacks of the world's user; each may be NULL. */
 struct world_listener {
-	/* ACTION_CALL_* as it reaches the caller. */
+	/* An ACTION_CALL_* has reached the caller. */
 	void (*answered)(void *data, uint64_t call,
 			 const struct action *action);
-	/* The connection broke, or (connected false) there was none. */
+	/* The connection broke or, with connected false, was refused. */
 	void (*broken)(void *data, uint64_t call, bool connected);
-	/* What an engine made, at the time it made it. */
+	/* An engine has produced output, at the current time. */
 	void (*engine_output)(void *data, const struct world_run *run,
 			      const struct engine_output *output);
 	void (*logged)(void *data, int32_t node, const struct action_log *log);
@@ -85,10 +86,10 @@
 };
 
 struct world_kv_mode {
-	bool refused;		/* no connection: certainly not applied */
-	bool silent;		/* takes requests, does nothing */
+	bool refused; /* connections are refused; requests are not applied */
+	bool silent; /* accepts requests but neither applies nor answers them */
 	int64_t extra_delay_us; /* each way */
-	int32_t lose_percent;	/* of answers, after it was applied */
+	int32_t lose_percent;	/* of answers, after the request was applied */
 };
 
 typedef void (*world_callback)(struct world *world, void *data);
@@ -139,7 +140,6 @@
 int32_t world_party_kv(const struct world *world);
 void world_cut_link(struct world *world, int32_t from, int32_t to, bool cut);
 
-/* struct world_run *, in order of arrival. */
 const GPtrArray *world_runs(const struct world *world);
 
 G_END_DECLS
--- a/bench/world_attempt.c
+++ b/bench/world_attempt.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-#define RESEND_US 200000 /* while the link is cut */
+#define RESEND_US 200000 /* retry interval while the link is cut */
 
-/* An event with what it points to. */
+/* An event and the data it points to. */
 struct attempt_event {
 	struct event event;
 	GBytes *bytes;
@@ -29,11 +29,13 @@
 	g_queue_clear_full(&attempt->events, attempt_event_destroy);
 }
 
+/* Adds a reference. */
 struct world_attempt *world_attempt_ref(struct world_attempt *attempt)
 {
 	return g_rc_box_acquire(attempt);
 }
 
+/* Drops a reference; the last one frees the attempt and its queued events. */
 void world_attempt_unref(gpointer data)
 {
 	g_rc_box_release_full(data, attempt_clear);
@@ -49,7 +51,7 @@
 	attempt->number = number;
 	attempt->call = call;
 	attempt->endpoint = world_find_endpoint(world, address);
-	attempt->peer_node = NOT_BOUND;
+	attempt->peer_node = INDEX_NONE;
 	g_queue_init(&attempt->events);
 	g_hash_table_insert(world->nodes[node].attempts, &attempt->number,
 			    attempt);
@@ -60,7 +62,7 @@
 				const struct world_attempt *attempt)
 {
 	return world_delay_us(world,
-			      attempt->endpoint == NOT_BOUND
+			      attempt->endpoint == INDEX_NONE
 				      ? world->options.peer_delay_us
 				      : world->options.endpoint_delay_us);
 }
@@ -68,7 +70,7 @@
 static int32_t attempt_party(const struct world *world,
 			     const struct world_attempt *attempt)
 {
-	return attempt->endpoint == NOT_BOUND
+	return attempt->endpoint == INDEX_NONE
 		       ? world_party_node(world, attempt->peer_node)
 		       : world_party_endpoint(world, attempt->endpoint);
 }
@@ -80,14 +82,17 @@
 	       event->type == EVENT_ATTEMPT_FAILED;
 }
 
-/* Each posted delivery takes the first event, so their order stays. */
+/*
+ * Delivers the first queued event. Every posted delivery takes the first one,
+ * so different delays do not reorder the events.
+ */
 static void attempt_deliver(struct world *world, void *data)
 {
 	struct world_attempt *attempt = data;
 	int32_t node = attempt->node;
 	struct attempt_event *item;
 
-	if (attempt->let_go || g_queue_is_empty(&attempt->events))
+	if (attempt->closed || g_queue_is_empty(&attempt->events))
 		return;
 	item = g_queue_peek_head(&attempt->events);
 	if (item->event.type != EVENT_ATTEMPT_FAILED &&
@@ -108,7 +113,7 @@
 static void attempt_push(struct world *world, struct world_attempt *attempt,
 			 struct attempt_event *item, int64_t delay_us)
 {
-	if (attempt->let_go || attempt->ended ||
+	if (attempt->closed || attempt->ended ||
 	    !world->nodes[attempt->node].node) {
 		attempt_event_destroy(item);
 		return;
@@ -120,7 +125,7 @@
 			world_attempt_unref);
 }
 
-/* The engine has named the generation. */
+/* Sends the node the identifier of the generation. */
 void world_attempt_started(struct world *world, struct world_attempt *attempt,
 			   const char *generation)
 {
@@ -151,8 +156,9 @@
 }
 
 /*
- * Tokens of the attempt's stream, said as "GENERATION.FIRST+COUNT ". May be
- * lost, doubled, or overtake the event before it.
+ * Sends the node a chunk of the attempt's stream with the text
+ * "GENERATION.FIRST+COUNT ". The chunk may be lost, duplicated, or swapped with
+ * the event before it.
  */
 void world_attempt_chunk(struct world *world, struct world_attempt *attempt,
 			 int64_t first, int64_t count)
@@ -176,7 +182,7 @@
 	}
 }
 
-/* The generation is whole. */
+/* Ends the attempt: the generation is complete. */
 void world_attempt_done(struct world *world, struct world_attempt *attempt,
 			int64_t token_count)
 {
@@ -189,7 +195,7 @@
 	attempt_push(world, attempt, item, attempt_delay_us(world, attempt));
 }
 
-/* A whole answer of a plain endpoint or another node. */
+/* Sends the node the complete answer of a plain endpoint or another node. */
 void world_attempt_answer(struct world *world, struct world_attempt *attempt,
 			  int32_t status, const char *content_type,
 			  GBytes *body)
@@ -206,7 +212,10 @@
 	attempt_push(world, attempt, item, attempt_delay_us(world, attempt));
 }
 
-/* The attempt ends without an answer, after delay_us and the link's own. */
+/*
+ * Ends the attempt without an answer. The node is notified after delay_us and
+ * the delay of the link.
+ */
 void world_attempt_fail(struct world *world, struct world_attempt *attempt,
 			enum attempt_stage stage, int64_t delay_us)
 {
@@ -223,9 +232,9 @@
 }
 
 /*
- * The connection is made. Where it can't be, or is refused, the node learns
- * that nothing was sent. A node that let go meanwhile has sent its request all
- * the same.
+ * Connects and delivers the request. If the link is cut or the endpoint is
+ * dead, the node is notified that nothing was sent. If the node has closed the
+ * attempt in the meantime, an endpoint still gets the request; a peer does not.
  */
 static void attempt_arrive(struct world *world, void *data)
 {
@@ -238,8 +247,8 @@
 				   world->options.connect_timeout_us);
 		return;
 	}
-	if (attempt->endpoint == NOT_BOUND) {
-		if (!attempt->let_go)
+	if (attempt->endpoint == INDEX_NONE) {
+		if (!attempt->closed)
 			attempt->forwarded_call = world_forward(world, attempt);
 		return;
 	}
@@ -248,11 +257,11 @@
 		return;
 	}
 	if (attempt->request)
-		world_endpoint_take(world, attempt);
+		world_endpoint_accept(world, attempt);
 	else
 		world_stream_resume(world, attempt);
-	if (attempt->let_go)
-		world_stream_let_go(world, attempt);
+	if (attempt->closed)
+		world_stream_reader_closed(world, attempt);
 }
 
 static void attempt_post_arrival(struct world *world,
@@ -269,10 +278,10 @@
 		if (strcmp(world->nodes[i].http_address, address) == 0)
 			return i;
 	}
-	return NOT_BOUND;
+	return INDEX_NONE;
 }
 
-/* ACTION_ATTEMPT_SEND */
+/* Executes ACTION_ATTEMPT_SEND: sends a request to an endpoint or a node. */
 void world_attempt_send(struct world *world, int32_t node,
 			const struct action_attempt_send *send)
 {
@@ -283,45 +292,45 @@
 	attempt->priority = send->priority;
 	if (send->to_node)
 		attempt->peer_node = find_node(world, send->endpoint);
-	g_assert(attempt->endpoint != NOT_BOUND ||
-		 attempt->peer_node != NOT_BOUND);
+	g_assert(attempt->endpoint != INDEX_NONE ||
+		 attempt->peer_node != INDEX_NONE);
 	attempt_post_arrival(world, attempt);
 }
 
-/* ACTION_ATTEMPT_RESUME */
+/* Executes ACTION_ATTEMPT_RESUME: reattaches to a generation at an engine. */
 void world_attempt_resume(struct world *world, int32_t node,
 			  const struct action_attempt_resume *resume)
 {
 	struct world_attempt *attempt = attempt_create(
 		world, node, resume->attempt, resume->call, resume->endpoint);
 
-	g_assert(attempt->endpoint != NOT_BOUND);
+	g_assert(attempt->endpoint != INDEX_NONE);
 	attempt->generation = g_strdup(resume->generation);
 	attempt->next_token = resume->next_token;
 	attempt_post_arrival(world, attempt);
 }
 
-static void attempt_gone_arrives(struct world *world, void *data)
+static void attempt_close_arrive(struct world *world, void *data)
 {
 	struct world_attempt *attempt = data;
 
-	if (attempt->endpoint == NOT_BOUND)
+	if (attempt->endpoint == INDEX_NONE)
 		world_caller_close(world, attempt->forwarded_call);
 	else
-		world_stream_let_go(world, attempt);
+		world_stream_reader_closed(world, attempt);
 }
 
-static void attempt_let_go(struct world *world, struct world_attempt *attempt,
-			   bool keep_running)
+static void attempt_close(struct world *world, struct world_attempt *attempt,
+			  bool keep_running)
 {
-	attempt->let_go = true;
+	attempt->closed = true;
 	attempt->keep_running = keep_running;
 	world_post(world, world->now_us + attempt_delay_us(world, attempt),
-		   attempt_gone_arrives, world_attempt_ref(attempt),
+		   attempt_close_arrive, world_attempt_ref(attempt),
 		   world_attempt_unref);
 }
 
-/* ACTION_ATTEMPT_CANCEL */
+/* Executes ACTION_ATTEMPT_CANCEL; an attempt that has ended is ignored. */
 void world_attempt_cancel(struct world *world, int32_t node,
 			  const struct action_attempt_cancel *cancel)
 {
@@ -331,11 +340,11 @@
 
 	if (!attempt)
 		return;
-	attempt_let_go(world, attempt, cancel->keep_running);
+	attempt_close(world, attempt, cancel->keep_running);
 	g_hash_table_remove(attempts, &cancel->attempt);
 }
 
-/* ACTION_ATTEMPT_FLOW */
+/* Executes ACTION_ATTEMPT_FLOW: pauses or continues reading. */
 void world_attempt_flow(struct world *world, int32_t node,
 			const struct action_attempt_flow *flow)
 {
@@ -349,7 +358,7 @@
 		world_stream_flush(world, attempt->stream);
 }
 
-/* The node's process is gone: its connections close. */
+/* Closes all connections of a node whose process has ended. */
 void world_attempts_drop(struct world *world, int32_t node)
 {
 	GHashTable *attempts = world->nodes[node].attempts;
@@ -358,6 +367,6 @@
 
 	g_hash_table_iter_init(&i, attempts);
 	while (g_hash_table_iter_next(&i, NULL, &attempt))
-		attempt_let_go(world, attempt, true);
+		attempt_close(world, attempt, true);
 	g_hash_table_remove_all(attempts);
 }
--- a/bench/world_call.c
+++ b/bench/world_call.c
@@ -2,6 +2,7 @@
 
 #include <string.h>
 
+/* An event of a caller in transit to its node. */
 struct call_delivery {
 	uint64_t call;
 	struct request *request;
@@ -51,8 +52,8 @@
 {
 	struct world_caller *caller = g_new0(struct world_caller, 1);
 
-	caller->call = world->roots->len;
-	g_array_append_val(world->roots, caller->call);
+	caller->call = world->root_calls->len;
+	g_array_append_val(world->root_calls, caller->call);
 	caller->node = node;
 	caller->incarnation = world->nodes[node].incarnation;
 	g_queue_init(&caller->answers);
@@ -68,9 +69,9 @@
 					     : world->options.client_delay_us);
 }
 
-/* The connection broke, or was refused: tells whoever made the call. */
-static void caller_broken(struct world *world, struct world_caller *caller,
-			  bool connected)
+/* Ends a broken or refused connection and notifies the sender of the call. */
+static void caller_fail(struct world *world, struct world_caller *caller,
+			bool connected)
 {
 	struct world_attempt *origin = caller->origin;
 	uint64_t call = caller->call;
@@ -84,25 +85,25 @@
 		world->listener.broken(world->listener.data, call, connected);
 }
 
-static void caller_breaks(struct world *world, void *data)
+static void caller_break_due(struct world *world, void *data)
 {
 	const uint64_t *call = data;
 	struct world_caller *caller = world_find_caller(world, *call);
 
 	if (caller)
-		caller_broken(world, caller, true);
+		caller_fail(world, caller, true);
 }
 
-static void caller_refused(struct world *world, void *data)
+static void caller_refuse_due(struct world *world, void *data)
 {
 	const uint64_t *call = data;
 	struct world_caller *caller = world_find_caller(world, *call);
 
 	if (caller)
-		caller_broken(world, caller, false);
+		caller_fail(world, caller, false);
 }
 
-/* The node's process is gone: its callers see their connections close. */
+/* Breaks the connections of all callers of a node whose process has ended. */
 void world_break_callers(struct world *world, int32_t node)
 {
 	GHashTableIter i;
@@ -117,7 +118,7 @@
 		world_post(world,
 			   world->now_us + caller_delay_us(world, caller) +
 				   4 * world->options.client_delay_us,
-			   caller_breaks,
+			   caller_break_due,
 			   g_memdup2(&caller->call, sizeof(caller->call)),
 			   g_free);
 	}
@@ -129,7 +130,7 @@
 	struct world_caller *caller = world_find_caller(world, delivery->call);
 	struct event event = {.type = delivery->type};
 
-	/* The caller closed before its request came: nothing to answer. */
+	/* The caller closed before its request arrived: nothing to answer. */
 	if (!caller)
 		return;
 	switch (delivery->type) {
@@ -150,7 +151,7 @@
 	world_node_step(world, caller->node, &event);
 }
 
-static void call_gone_arrive(struct world *world, void *data)
+static void call_close_arrive(struct world *world, void *data)
 {
 	const struct world_caller *caller = data;
 	const struct event event = {.type = EVENT_CALL_GONE,
@@ -171,11 +172,11 @@
 		return;
 	}
 	call_delivery_destroy(delivery);
-	world_post(world, at_us, caller_refused,
+	world_post(world, at_us, caller_refuse_due,
 		   g_memdup2(&caller->call, sizeof(caller->call)), g_free);
 }
 
-/* Sends a request to a node and returns the call's number. */
+/* Sends a request to a node, keeping a reference; returns the call's number. */
 uint64_t world_call(struct world *world, int32_t node, struct request *request)
 {
 	struct world_caller *caller = caller_create(world, node);
@@ -187,7 +188,11 @@
 	return caller->call;
 }
 
-/* Asks a node about the system; the answer comes as to a call. */
+/*
+ * Sends a query of an operator to a node and returns the call's number. The
+ * answer arrives as for a call. The strings are copied and body is reffed;
+ * operator_name, plan_id and body may be NULL.
+ */
 uint64_t world_query(struct world *world, int32_t node, enum query_type type,
 		     const char *operator_name, const char *plan_id,
 		     GBytes *body)
@@ -205,7 +210,7 @@
 	return caller->call;
 }
 
-/* A request that a node passes on to another one; returns its number there. */
+/* Forwards a node's request to a peer; returns the number of the call there. */
 uint64_t world_forward(struct world *world, struct world_attempt *attempt)
 {
 	struct world_caller *caller = caller_create(world, attempt->peer_node);
@@ -233,15 +238,15 @@
 	request->prefix_hash = from->prefix_hash;
 	request->true_tokens = from->true_tokens;
 	caller->origin = world_attempt_ref(attempt);
-	g_array_index(world->roots, uint64_t, caller->call) =
-		g_array_index(world->roots, uint64_t, attempt->call);
+	g_array_index(world->root_calls, uint64_t, caller->call) =
+		g_array_index(world->root_calls, uint64_t, attempt->call);
 	delivery->type = EVENT_CALL;
 	delivery->request = request;
 	caller_connect(world, caller, delivery);
 	return caller->call;
 }
 
-/* The caller closes; nothing more reaches it. */
+/* Closes the connection of a caller, which receives nothing more. */
 void world_caller_close(struct world *world, uint64_t call)
 {
 	struct world_caller *caller = world_find_caller(world, call);
@@ -251,22 +256,23 @@
 		return;
 	node = caller->node;
 	g_hash_table_steal(world->callers, &call);
-	/* No connection outlives the node's process that took it. */
+	/* The connection has ended with the process that accepted it. */
 	if (caller->incarnation != world->nodes[node].incarnation ||
 	    !world->nodes[node].node) {
 		world_caller_destroy(caller);
 		return;
 	}
 	world_post_node(world, world->now_us + caller_delay_us(world, caller),
-			node, call_gone_arrive, caller, world_caller_destroy);
+			node, call_close_arrive, caller, world_caller_destroy);
 }
 
+/* Closes a call from the caller's side; a call that has ended is ignored. */
 void world_close_call(struct world *world, uint64_t call)
 {
 	world_caller_close(world, call);
 }
 
-/* The caller reads too slowly, or keeps up again. */
+/* Notifies the node that the caller reads too slowly (full) or keeps up. */
 void world_set_call_flow(struct world *world, uint64_t call, bool full)
 {
 	struct world_caller *caller = world_find_caller(world, call);
@@ -307,11 +313,12 @@
 }
 
 /*
- * What a forwarding node gets of the answer: the whole body at its end, a
- * stream's as its chunks followed by [DONE] or by the error.
+ * Collects an answer for the node that forwarded the call. The body is sent
+ * once it is complete; that of a stream consists of the chunks followed by
+ * [DONE] or by the error.
  */
-static void forwarded_take(struct world *world, struct world_caller *caller,
-			   const struct action *action)
+static void forwarded_collect(struct world *world, struct world_caller *caller,
+			      const struct action *action)
 {
 	gsize size;
 	const char *bytes;
@@ -361,7 +368,7 @@
 	       action->type == ACTION_CALL_END;
 }
 
-static void caller_take(struct world *world, void *data)
+static void caller_receive(struct world *world, void *data)
 {
 	const uint64_t *call = data;
 	struct world_caller *caller = world_find_caller(world, *call);
@@ -373,7 +380,7 @@
 	list = g_queue_pop_head(&caller->answers);
 	action = action_list_get(list, 0);
 	if (caller->origin) {
-		forwarded_take(world, caller, action);
+		forwarded_collect(world, caller, action);
 	} else {
 		if (action_ends_call(action))
 			g_hash_table_remove(world->callers, call);
@@ -402,7 +409,7 @@
 	}
 }
 
-/* Moves a node's answer out of the action and on its way, in order. */
+/* Takes the answer out of a node's action; the caller gets answers in order. */
 void world_caller_answer(struct world *world, struct action *action)
 {
 	struct world_caller *caller =
@@ -416,6 +423,6 @@
 	action->type = ACTION_STOPPED; /* owns nothing any more */
 	g_queue_push_tail(&caller->answers, list);
 	world_post(world, world->now_us + caller_delay_us(world, caller),
-		   caller_take, g_memdup2(&caller->call, sizeof(caller->call)),
-		   g_free);
+		   caller_receive,
+		   g_memdup2(&caller->call, sizeof(caller->call)), g_free);
 }
--- a/bench/world_endpoint.c
+++ b/bench/world_endpoint.c
@@ -5,16 +5,16 @@
 #include <string.h>
 
 #define POISON_MARK "[[poison]]"
-#define POISON_US 10000 /* from a poisonous request's arrival to the crash */
+#define POISON_US 10000 /* from a poisoned request's arrival to the crash */
 
-/* The endpoint at this address; NOT_BOUND: none. */
+/* Returns the index of the endpoint with this address, or INDEX_NONE. */
 int32_t world_find_endpoint(const struct world *world, const char *address)
 {
 	for (int32_t i = 0; i < world->endpoint_count; i++) {
 		if (strcmp(world->endpoints[i].address, address) == 0)
 			return i;
 	}
-	return NOT_BOUND;
+	return INDEX_NONE;
 }
 
 static void engine_wake(struct world *world, void *data)
@@ -27,7 +27,7 @@
 	world_engine_run(world, (int32_t)(engine - world->endpoints));
 }
 
-/* Wakes an engine when the step under way ends. */
+/* Schedules a wake-up of an engine for the end of its current step. */
 void world_engine_queue_wake(struct world *world, struct world_endpoint *engine)
 {
 	int64_t due_us = engine_model_next_due_us(engine->model);
@@ -38,8 +38,8 @@
 	world_post(world, engine->wake_us, engine_wake, engine, NULL);
 }
 
-static void engine_take_output(struct world *world,
-			       const struct engine_output *output)
+static void engine_handle_output(struct world *world,
+				 const struct engine_output *output)
 {
 	struct world_stream *stream = world_find_stream(world, output->id);
 
@@ -56,22 +56,22 @@
 		world_stream_queue_flush(world, stream);
 }
 
-static void engine_take_outputs(struct world *world)
+static void engine_handle_outputs(struct world *world)
 {
 	for (guint i = 0; i < world->outputs->len; i++)
-		engine_take_output(world,
-				   &g_array_index(world->outputs,
-						  struct engine_output, i));
+		engine_handle_output(world,
+				     &g_array_index(world->outputs,
+						    struct engine_output, i));
 	g_array_set_size(world->outputs, 0);
 }
 
-/* Steps an engine's model to now and passes on what it made. */
+/* Steps an engine's model to the current time and handles its output. */
 void world_engine_run(struct world *world, int32_t index)
 {
 	struct world_endpoint *engine = &world->endpoints[index];
 
 	engine_model_step(engine->model, world->now_us, world->outputs);
-	engine_take_outputs(world);
+	engine_handle_outputs(world);
 	world_engine_queue_wake(world, engine);
 }
 
@@ -83,14 +83,14 @@
 	run->number = world->runs->len + 1;
 	run->endpoint = attempt->endpoint;
 	run->node = attempt->node;
-	run->call = g_array_index(world->roots, uint64_t, attempt->call);
+	run->call = g_array_index(world->root_calls, uint64_t, attempt->call);
 	run->request = request_ref(attempt->request);
 	run->at_us = world->now_us;
 	g_ptr_array_add(world->runs, run);
 	return run;
 }
 
-static void poison_works(struct world *world, void *data)
+static void poison_crash(struct world *world, void *data)
 {
 	const struct world_endpoint *endpoint = data;
 
@@ -123,8 +123,8 @@
 	return engine_model_submit(engine->model, &submitted, world->now_us);
 }
 
-static void engine_take(struct world *world, struct world_endpoint *engine,
-			struct world_attempt *attempt, const char *text)
+static void engine_accept(struct world *world, struct world_endpoint *engine,
+			  struct world_attempt *attempt, const char *text)
 {
 	const struct request *request = attempt->request;
 	int64_t tokens = engine_text_output_tokens(text, world->options.seed);
@@ -164,8 +164,8 @@
 			     attempt->request->body);
 }
 
-static void plain_take(struct world *world, struct world_endpoint *endpoint,
-		       struct world_attempt *attempt)
+static void plain_accept(struct world *world, struct world_endpoint *endpoint,
+			 struct world_attempt *attempt)
 {
 	run_add(world, attempt)->finished = true;
 	g_ptr_array_add(endpoint->open, world_attempt_ref(attempt));
@@ -176,32 +176,35 @@
 }
 
 /*
- * A request arrives at a living endpoint and is run; a plain endpoint answers
- * the request's own body.
+ * Runs a request that has arrived at a living endpoint. A plain endpoint
+ * answers with the body of the request.
  */
-void world_endpoint_take(struct world *world, struct world_attempt *attempt)
+void world_endpoint_accept(struct world *world, struct world_attempt *attempt)
 {
 	struct world_endpoint *endpoint = &world->endpoints[attempt->endpoint];
 	char *text = request_text(attempt->request);
 
 	if (endpoint->is_engine)
-		engine_take(world, endpoint, attempt, text);
+		engine_accept(world, endpoint, attempt, text);
 	else
-		plain_take(world, endpoint, attempt);
+		plain_accept(world, endpoint, attempt);
 	if (strstr(text, POISON_MARK))
-		world_post(world, world->now_us + POISON_US, poison_works,
+		world_post(world, world->now_us + POISON_US, poison_crash,
 			   endpoint, NULL);
 	g_free(text);
 }
 
-static void endpoint_returns(struct world *world, void *data)
+static void endpoint_restart_due(struct world *world, void *data)
 {
 	const struct world_endpoint *endpoint = data;
 
 	world_restart_endpoint(world, (int32_t)(endpoint - world->endpoints));
 }
 
-/* Ends an endpoint's process: all it holds is gone, connections close. */
+/*
+ * Ends an endpoint's process: its runs are lost and its connections close. With
+ * restart_us set it restarts after that time.
+ */
 void world_crash_endpoint(struct world *world, int32_t index)
 {
 	struct world_endpoint *endpoint = &world->endpoints[index];
@@ -212,7 +215,7 @@
 	if (endpoint->is_engine) {
 		engine_model_crash(endpoint->model, world->now_us,
 				   world->outputs);
-		engine_take_outputs(world);
+		engine_handle_outputs(world);
 		world_streams_drop(world, index);
 	}
 	for (guint i = 0; i < endpoint->open->len; i++)
@@ -221,10 +224,10 @@
 	g_ptr_array_set_size(endpoint->open, 0);
 	if (world->options.restart_us)
 		world_post(world, world->now_us + world->options.restart_us,
-			   endpoint_returns, endpoint, NULL);
+			   endpoint_restart_due, endpoint, NULL);
 }
 
-/* A new process takes a crashed endpoint's place. */
+/* Restarts a crashed endpoint with a new process. */
 void world_restart_endpoint(struct world *world, int32_t index)
 {
 	struct world_endpoint *endpoint = &world->endpoints[index];
@@ -237,7 +240,7 @@
 		engine_model_restart(endpoint->model, world->now_us);
 }
 
-/* Until then the endpoint takes what comes and sends nothing. */
+/* Until until_us the endpoint accepts requests but sends nothing. */
 void world_stall_endpoint(struct world *world, int32_t index, int64_t until_us)
 {
 	struct world_endpoint *endpoint = &world->endpoints[index];
@@ -247,12 +250,16 @@
 		engine_model_stall(endpoint->model, until_us);
 }
 
+/* From the next step on, an engine's steps take factor times as long. */
 void world_set_slowdown(struct world *world, int32_t engine, double factor)
 {
 	engine_model_set_slowdown(world->endpoints[engine].model, factor);
 }
 
-/* Marks an endpoint as leaving, or staying, by two of the ways there are. */
+/*
+ * Marks an endpoint as leaving or staying in its load report and in the VM
+ * list. The VM list shows it as leaving after vm_list_lag_us.
+ */
 void world_set_leaving(struct world *world, int32_t index, bool in_report,
 		       bool in_vm_list)
 {
@@ -265,6 +272,7 @@
 			   : INT64_MAX;
 }
 
+/* Returns the model of an engine; the world owns it. */
 struct engine_model *world_engine(struct world *world, int32_t engine)
 {
 	return world->endpoints[engine].model;
@@ -278,7 +286,7 @@
 	g_free(run);
 }
 
-/* Engines first, then plain endpoints. */
+/* Creates the endpoints, engines first, and the list of runs. */
 void world_endpoints_create(struct world *world)
 {
 	struct engine_model_options engine = world->options.engine;
@@ -305,7 +313,7 @@
 	}
 }
 
-/* Frees the endpoints and the list of runs. */
+/* Frees the endpoints, the generations and the list of runs. */
 void world_endpoints_destroy(struct world *world)
 {
 	g_hash_table_unref(world->streams);
--- a/bench/world_kv.c
+++ b/bench/world_kv.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* A node's request on its way; answered once. */
-struct kv_flight {
+/* A node's request in flight; its answer is delivered once. */
+struct kv_exchange {
 	int32_t node;
 	bool answered;
 	struct kv_request request;
@@ -14,9 +14,10 @@
 	int32_t node;
 	uint64_t incarnation;
 	char *key;
-	int64_t revision; /* of the state that was last sent */
+	int64_t revision; /* of the value that was last sent */
 };
 
+/* A change of a watched key in transit to the node. */
 struct watch_delivery {
 	int32_t node;
 	char *key;
@@ -24,7 +25,7 @@
 	GBytes *value;
 };
 
-/* Frees a watch. */
+/* Frees a struct world_watch. */
 void world_watch_destroy(gpointer data)
 {
 	struct world_watch *watch = data;
@@ -33,17 +34,17 @@
 	g_free(watch);
 }
 
-static void flight_clear(gpointer data)
+static void exchange_clear(gpointer data)
 {
-	struct kv_flight *flight = data;
+	struct kv_exchange *exchange = data;
 
-	kv_request_clear(&flight->request);
-	kv_answer_clear(&flight->answer);
+	kv_request_clear(&exchange->request);
+	kv_answer_clear(&exchange->answer);
 }
 
-static void flight_unref(gpointer data)
+static void exchange_unref(gpointer data)
 {
-	g_rc_box_release_full(data, flight_clear);
+	g_rc_box_release_full(data, exchange_clear);
 }
 
 static int64_t kv_delay_us(struct world *world)
@@ -52,101 +53,104 @@
 	       world->kv_mode.extra_delay_us;
 }
 
-static void flight_deliver(struct world *world, struct kv_flight *flight)
+static void exchange_deliver(struct world *world, struct kv_exchange *exchange)
 {
-	const struct event event = {.type = EVENT_KV, .kv = &flight->answer};
+	const struct event event = {.type = EVENT_KV, .kv = &exchange->answer};
 
-	if (flight->answered)
+	if (exchange->answered)
 		return;
-	flight->answered = true;
-	world_node_step(world, flight->node, &event);
+	exchange->answered = true;
+	world_node_step(world, exchange->node, &event);
 }
 
-static void flight_answered(struct world *world, void *data)
+static void exchange_answered(struct world *world, void *data)
 {
-	flight_deliver(world, data);
+	exchange_deliver(world, data);
 }
 
-static void flight_fail(struct world *world, struct kv_flight *flight,
-			enum kv_outcome outcome)
+static void exchange_fail(struct world *world, struct kv_exchange *exchange,
+			  enum kv_outcome outcome)
 {
-	if (flight->answered)
+	if (exchange->answered)
 		return;
-	kv_answer_clear(&flight->answer);
-	memset(&flight->answer, 0, sizeof(flight->answer));
-	flight->answer.id = flight->request.id;
-	flight->answer.op = flight->request.op;
-	flight->answer.outcome = outcome;
-	flight_deliver(world, flight);
+	kv_answer_clear(&exchange->answer);
+	memset(&exchange->answer, 0, sizeof(exchange->answer));
+	exchange->answer.id = exchange->request.id;
+	exchange->answer.op = exchange->request.op;
+	exchange->answer.outcome = outcome;
+	exchange_deliver(world, exchange);
 }
 
-static void flight_timed_out(struct world *world, void *data)
+static void exchange_timed_out(struct world *world, void *data)
 {
-	flight_fail(world, data, KV_ANSWER_LOST);
+	exchange_fail(world, data, KV_ANSWER_LOST);
 }
 
-static void flight_refused(struct world *world, void *data)
+static void exchange_refused(struct world *world, void *data)
 {
-	flight_fail(world, data, KV_NOT_APPLIED);
+	exchange_fail(world, data, KV_NOT_APPLIED);
 }
 
 static bool kv_answer_reaches(struct world *world,
-			      const struct kv_flight *flight)
+			      const struct kv_exchange *exchange)
 {
 	return !world_chance(world, world->kv_mode.lose_percent * 10) &&
-	       !world_link_cut(world, world_party_kv(world), flight->node);
+	       !world_link_cut(world, world_party_kv(world), exchange->node);
 }
 
-/* The request takes effect here, also when its node has given up on it. */
-static void flight_arrive(struct world *world, void *data)
+/* Applies the request, even if it has already timed out at its node. */
+static void exchange_arrive(struct world *world, void *data)
 {
-	struct kv_flight *flight = data;
+	struct kv_exchange *exchange = data;
 
 	if (world->kv_mode.silent ||
-	    world_link_cut(world, flight->node, world_party_kv(world)))
+	    world_link_cut(world, exchange->node, world_party_kv(world)))
 		return;
-	if (flight->answered) {
+	if (exchange->answered) {
 		struct kv_answer late;
 
-		kv_model_answer(world->kv, &flight->request, world->now_us,
+		kv_model_answer(world->kv, &exchange->request, world->now_us,
 				&late);
 		kv_answer_clear(&late);
 		world_kv_notify(world);
 		return;
 	}
-	kv_model_answer(world->kv, &flight->request, world->now_us,
-			&flight->answer);
+	kv_model_answer(world->kv, &exchange->request, world->now_us,
+			&exchange->answer);
 	world_kv_notify(world);
-	if (kv_answer_reaches(world, flight))
+	if (kv_answer_reaches(world, exchange))
 		world_post_node(world, world->now_us + kv_delay_us(world),
-				flight->node, flight_answered,
-				g_rc_box_acquire(flight), flight_unref);
+				exchange->node, exchange_answered,
+				g_rc_box_acquire(exchange), exchange_unref);
 }
 
-/* ACTION_KV; takes the request's contents. */
+/*
+ * Executes ACTION_KV and takes ownership of the request's key and value. A
+ * request without an answer fails after its timeout, by default kv_timeout_us.
+ */
 void world_kv_send(struct world *world, int32_t node,
 		   struct kv_request *request)
 {
-	struct kv_flight *flight = g_rc_box_new0(struct kv_flight);
+	struct kv_exchange *exchange = g_rc_box_new0(struct kv_exchange);
 	int64_t timeout_us = request->timeout_us > 0
 				     ? request->timeout_us
 				     : world->options.node.kv_timeout_us;
 
-	flight->node = node;
-	flight->request = *request;
+	exchange->node = node;
+	exchange->request = *request;
 	request->key = NULL;
 	request->value = NULL;
 	world->kv_calls++;
 	if (world->kv_mode.refused) {
 		world_post_node(world, world->now_us + kv_delay_us(world), node,
-				flight_refused, flight, flight_unref);
+				exchange_refused, exchange, exchange_unref);
 		return;
 	}
 	world_post_node(world, world->now_us + timeout_us, node,
-			flight_timed_out, g_rc_box_acquire(flight),
-			flight_unref);
-	world_post(world, world->now_us + kv_delay_us(world), flight_arrive,
-		   flight, flight_unref);
+			exchange_timed_out, g_rc_box_acquire(exchange),
+			exchange_unref);
+	world_post(world, world->now_us + kv_delay_us(world), exchange_arrive,
+		   exchange, exchange_unref);
 }
 
 static void watch_delivery_destroy(gpointer data)
@@ -171,7 +175,7 @@
 	world_node_step(world, delivery->node, &event);
 }
 
-static void watch_check(struct world *world, struct world_watch *watch)
+static void watch_send_change(struct world *world, struct world_watch *watch)
 {
 	GPtrArray *entries = kv_entries_create();
 	const struct kv_entry *entry;
@@ -193,15 +197,19 @@
 	g_ptr_array_unref(entries);
 }
 
-static bool watch_is_dead(const struct world *world,
-			  const struct world_watch *watch)
+static bool watch_is_stale(const struct world *world,
+			   const struct world_watch *watch)
 {
 	const struct world_node *node = &world->nodes[watch->node];
 
 	return !node->node || node->incarnation != watch->incarnation;
 }
 
-/* Sends watchers what they have not seen; nothing while the service is down. */
+/*
+ * Sends each watcher the current value of its key if it is newer than the last
+ * one sent. Nothing is sent while the service is unavailable or over a cut
+ * link.
+ */
 void world_kv_notify(struct world *world)
 {
 	if (world->kv_mode.refused || world->kv_mode.silent)
@@ -210,15 +218,15 @@
 		struct world_watch *watch =
 			g_ptr_array_index(world->watches, i - 1);
 
-		if (watch_is_dead(world, watch))
+		if (watch_is_stale(world, watch))
 			g_ptr_array_remove_index(world->watches, i - 1);
 		else if (!world_link_cut(world, world_party_kv(world),
 					 watch->node))
-			watch_check(world, watch);
+			watch_send_change(world, watch);
 	}
 }
 
-/* ACTION_KV_WATCH */
+/* Executes ACTION_KV_WATCH: watches a key until the node's process ends. */
 void world_kv_watch(struct world *world, int32_t node, const char *key)
 {
 	struct world_watch *watch = g_new0(struct world_watch, 1);
@@ -230,14 +238,14 @@
 	world_kv_notify(world);
 }
 
-/* What the service does from now on; watchers catch up when it is back. */
+/* Sets the faults of the service; watchers catch up once it is available. */
 void world_set_kv_mode(struct world *world, const struct world_kv_mode *mode)
 {
 	world->kv_mode = *mode;
 	world_kv_notify(world);
 }
 
-/* Calls that nodes have made so far, watches not counted. */
+/* Returns the number of requests that nodes have sent, without watches. */
 int64_t world_kv_calls(const struct world *world)
 {
 	return world->kv_calls;
--- a/bench/world_load.c
+++ b/bench/world_load.c
@@ -1,16 +1,17 @@
 #include "bench/world_state.h"
 
-/* How homes ask endpoints for their load. */
+/* Load reports that homes request from endpoints. */
 
-#define LOAD_TIMEOUT_US G_USEC_PER_SEC /* as in the daemon */
+#define LOAD_TIMEOUT_US G_USEC_PER_SEC /* same as in the daemon */
 
+/* A request for a load report, then its answer, in transit. */
 struct load_poll {
 	int32_t node;
 	int32_t endpoint;
 	struct event event;
 };
 
-static void load_arrive(struct world *world, void *data)
+static void load_answer_arrive(struct world *world, void *data)
 {
 	const struct load_poll *poll = data;
 
@@ -36,37 +37,37 @@
 	report->leaving = endpoint->leaving;
 }
 
-static void load_asked(struct world *world, void *data)
+static void load_request_arrive(struct world *world, void *data)
 {
-	const struct load_poll *asked = data;
+	const struct load_poll *request = data;
 	const struct world_endpoint *endpoint =
-		&world->endpoints[asked->endpoint];
-	int32_t party = world_party_endpoint(world, asked->endpoint);
-	struct load_poll *poll = g_memdup2(asked, sizeof(*asked));
+		&world->endpoints[request->endpoint];
+	int32_t party = world_party_endpoint(world, request->endpoint);
+	struct load_poll *poll = g_memdup2(request, sizeof(*request));
 	int64_t delay_us =
 		world_delay_us(world, world->options.endpoint_delay_us);
 
 	poll->event.load.reached =
 		endpoint->alive &&
 		endpoint->stalled_until_us <= world->now_us &&
-		!world_link_cut(world, asked->node, party) &&
-		!world_link_cut(world, party, asked->node);
+		!world_link_cut(world, request->node, party) &&
+		!world_link_cut(world, party, request->node);
 	if (poll->event.load.reached)
-		endpoint_report(world, asked->endpoint,
+		endpoint_report(world, request->endpoint,
 				&poll->event.load.report);
 	else if (endpoint->alive)
 		delay_us += LOAD_TIMEOUT_US;
-	world_post_node(world, world->now_us + delay_us, asked->node,
-			load_arrive, poll, g_free);
+	world_post_node(world, world->now_us + delay_us, request->node,
+			load_answer_arrive, poll, g_free);
 }
 
-/* ACTION_POLL_LOAD */
+/* Executes ACTION_POLL_LOAD; an unknown address is ignored. */
 void world_poll_load(struct world *world, int32_t node, const char *address)
 {
 	int32_t endpoint = world_find_endpoint(world, address);
 	struct load_poll *poll;
 
-	if (endpoint == NOT_BOUND)
+	if (endpoint == INDEX_NONE)
 		return;
 	poll = g_new0(struct load_poll, 1);
 	poll->node = node;
@@ -77,5 +78,5 @@
 		world,
 		world->now_us +
 			world_delay_us(world, world->options.endpoint_delay_us),
-		load_asked, poll, g_free);
+		load_request_arrive, poll, g_free);
 }
--- a/bench/world_node.c
+++ b/bench/world_node.c
@@ -4,14 +4,13 @@
 
 #define EVENT_KEY "the event key of this world"
 #define SEED_NODES 3
-#define LATE_US (4 * G_USEC_PER_SEC)
-#define SMALLEST_WAKE_US                                                       \
-	100 /* a node that is always due still lets time pass */
+#define LATE_DELAY_US (4 * G_USEC_PER_SEC) /* added; half to twice this */
+#define MIN_WAKE_DELAY_US 100 /* time advances even if a node is always due */
 
-static const char gone_address[] = "10.0.9.9:7000";
+static const char unreachable_address[] = "10.0.9.9:7000";
 
-static struct node_options node_options_of(struct world *world, int32_t index,
-					   const char **seeds)
+static struct node_options node_options_for(struct world *world, int32_t index,
+					    const char **seeds)
 {
 	const struct world_node *node = &world->nodes[index];
 	struct node_options options = world->options.node;
@@ -19,7 +18,7 @@
 
 	for (int32_t i = 0; i < count; i++)
 		seeds[i] = world->options.seeds_are_gone
-				   ? gone_address
+				   ? unreachable_address
 				   : world->nodes[i].peer_address;
 	seeds[count] = NULL;
 	options.name = node->name;
@@ -39,7 +38,7 @@
 	struct world_node *node = data;
 	const struct event event = {.type = EVENT_TIMER};
 
-	/* A wake-up that was since replaced by an earlier one has no effect. */
+	/* An earlier wake-up has replaced this one. */
 	if (node->wake_us > world->now_us)
 		return;
 	node->wake_us = INT64_MAX;
@@ -50,7 +49,7 @@
 {
 	struct world_node *node = &world->nodes[index];
 	int64_t due_us = MAX(node_next_due_us(node->node),
-			     world->now_us + SMALLEST_WAKE_US);
+			     world->now_us + MIN_WAKE_DELAY_US);
 
 	if (due_us >= node->wake_us)
 		return;
@@ -58,6 +57,7 @@
 	world_post_node(world, due_us, index, node_wake, node, NULL);
 }
 
+/* A message in transit between two nodes. */
 struct peer_delivery {
 	int32_t from;
 	int32_t to;
@@ -92,7 +92,7 @@
 		if (strcmp(world->nodes[i].peer_address, address) == 0)
 			return i;
 	}
-	return NOT_BOUND;
+	return INDEX_NONE;
 }
 
 static int64_t peer_delay_us(struct world *world)
@@ -100,11 +100,11 @@
 	int64_t delay_us = world_delay_us(world, world->options.peer_delay_us);
 
 	if (world_chance(world, world->options.peer_late_permille))
-		delay_us += world_delay_us(world, LATE_US);
+		delay_us += world_delay_us(world, LATE_DELAY_US);
 	return delay_us;
 }
 
-/* Takes the message out of the action. May lose or double it. */
+/* Takes the message out of the action; may lose or duplicate it. */
 static void node_send_peer(struct world *world, int32_t from,
 			   struct action_peer_send *send)
 {
@@ -112,7 +112,7 @@
 	int32_t copies = 1;
 	struct peer_delivery *delivery;
 
-	if (to == NOT_BOUND || !world->nodes[to].node ||
+	if (to == INDEX_NONE || !world->nodes[to].node ||
 	    world_chance(world, world->options.peer_drop_permille))
 		return;
 	if (world_chance(world, world->options.peer_double_permille))
@@ -133,8 +133,8 @@
 	world_kill_node(world, index);
 }
 
-static void node_apply(struct world *world, int32_t index,
-		       struct action *action)
+static void node_execute_action(struct world *world, int32_t index,
+				struct action *action)
 {
 	switch (action->type) {
 	case ACTION_CALL_ANSWER:
@@ -175,36 +175,36 @@
 		break;
 	case ACTION_ORDER:
 	case ACTION_READ_ORDER:
-		break; /* no workload has a rollout */
+		break; /* no workload uses a rollout */
 	case ACTION_STOPPED:
 		node_stopped(world, index);
 		break;
-	case ACTION_CONFIG: /* for a gateway, which worlds have none of */
+	case ACTION_CONFIG: /* for a gateway; a world has none */
 	case ACTION_TYPES:
 		break;
 	}
 }
 
-static void node_apply_all(struct world *world, int32_t index,
-			   struct action_list *actions)
+static void node_execute_actions(struct world *world, int32_t index,
+				 struct action_list *actions)
 {
 	for (size_t i = 0; i < action_list_count(actions); i++)
-		node_apply(world, index, action_list_get(actions, i));
+		node_execute_action(world, index, action_list_get(actions, i));
 	action_list_clear(actions);
 	if (world->nodes[index].node)
 		node_queue_wake(world, index);
 }
 
-/* Gives a living node an event and carries out what it asks for. */
+/* Steps a living node with an event and executes the resulting actions. */
 void world_node_step(struct world *world, int32_t index,
 		     const struct event *event)
 {
 	node_step(world->nodes[index].node, world->now_us, event,
 		  world->actions);
-	node_apply_all(world, index, world->actions);
+	node_execute_actions(world, index, world->actions);
 }
 
-/* The node reads the VM list, as it was a while ago, and will again. */
+/* Delivers the VM list, which lags behind, and schedules the next read. */
 static void node_read_vm_list(struct world *world, void *data)
 {
 	struct world_node *node = data;
@@ -225,7 +225,10 @@
 	g_free(vms);
 }
 
-/* Starts a dead node's process anew: same name, another incarnation. */
+/*
+ * Starts the process of a dead node with the same name and a new incarnation. A
+ * living node is left as it is.
+ */
 void world_start_node(struct world *world, int32_t index)
 {
 	struct world_node *node = &world->nodes[index];
@@ -239,10 +242,10 @@
 		(node->incarnation << 32) | g_rand_int(world->random);
 	node->paused = false;
 	node->wake_us = INT64_MAX;
-	options = node_options_of(world, index, seeds);
+	options = node_options_for(world, index, seeds);
 	node->node = node_create(&options);
 	node_start(node->node, world->now_us, world->actions);
-	node_apply_all(world, index, world->actions);
+	node_execute_actions(world, index, world->actions);
 	world_post_node(
 		world,
 		world->now_us +
@@ -250,13 +253,13 @@
 		index, node_read_vm_list, node, NULL);
 }
 
-static void held_destroy(gpointer data)
+static void deferred_destroy(gpointer data)
 {
 	queued_clear(data);
 	g_free(data);
 }
 
-/* Ends a node's process as SIGKILL does; its connections close. */
+/* Ends a node's process as SIGKILL would; its connections close. */
 void world_kill_node(struct world *world, int32_t index)
 {
 	struct world_node *node = &world->nodes[index];
@@ -264,7 +267,7 @@
 	if (!node->node)
 		return;
 	g_clear_pointer(&node->node, node_destroy);
-	g_queue_clear_full(&node->held, held_destroy);
+	g_queue_clear_full(&node->deferred, deferred_destroy);
 	world_attempts_drop(world, index);
 	world_break_callers(world, index);
 }
@@ -272,12 +275,12 @@
 static void node_resume(struct world *world, void *data)
 {
 	struct world_node *node = data;
-	GQueue held = node->held;
+	GQueue deferred = node->deferred;
 
 	node->paused = false;
-	g_queue_init(&node->held);
-	while (!g_queue_is_empty(&held)) {
-		struct queued *item = g_queue_pop_head(&held);
+	g_queue_init(&node->deferred);
+	while (!g_queue_is_empty(&deferred)) {
+		struct queued *item = g_queue_pop_head(&deferred);
 
 		item->at_us = world->now_us;
 		event_queue_add(world->queue, item);
@@ -295,7 +298,7 @@
 		node_resume(world, node);
 }
 
-/* Stops a node's process for a while; what comes meanwhile waits for it. */
+/* Pauses a node's process until until_us and defers its events until then. */
 void world_pause_node(struct world *world, int32_t index, int64_t until_us)
 {
 	struct world_node *node = &world->nodes[index];
@@ -318,30 +321,32 @@
 	world_node_step(world, (int32_t)(node - world->nodes), &event);
 }
 
-/* Asks a node to drain, as SIGTERM does; it is dead once it has stopped. */
+/* Drains a node as SIGTERM would; its process ends once it has stopped. */
 void world_drain_node(struct world *world, int32_t index)
 {
 	world_post_node(world, world->now_us, index, node_shut_down,
 			&world->nodes[index], NULL);
 }
 
+/* Returns whether the node's process runs; a paused one counts as running. */
 bool world_node_alive(const struct world *world, int32_t index)
 {
 	return world->nodes[index].node != NULL;
 }
 
+/* Returns the incarnation of the node's process, or of its last one. */
 uint64_t world_node_incarnation(const struct world *world, int32_t index)
 {
 	return world->nodes[index].incarnation;
 }
 
-/* NULL for a dead node. */
+/* Returns the node, which the world owns, or NULL for a dead one. */
 struct node *world_node(struct world *world, int32_t index)
 {
 	return world->nodes[index].node;
 }
 
-/* Names, addresses and a first process for each node. */
+/* Creates all nodes and starts them. */
 void world_nodes_create(struct world *world)
 {
 	world->nodes = g_new0(struct world_node, world->options.node_count);
@@ -351,7 +356,7 @@
 		node->name = g_strdup_printf("n%d", i);
 		node->http_address = g_strdup_printf("10.0.0.1:%d", 8000 + i);
 		node->peer_address = g_strdup_printf("10.0.0.1:%d", 7000 + i);
-		g_queue_init(&node->held);
+		g_queue_init(&node->deferred);
 		node->attempts = g_hash_table_new_full(
 			g_int64_hash, g_int64_equal, NULL, world_attempt_unref);
 	}
@@ -359,14 +364,14 @@
 		world_start_node(world, i);
 }
 
-/* Frees the nodes. */
+/* Frees the nodes and their deferred events. */
 void world_nodes_destroy(struct world *world)
 {
 	for (int32_t i = 0; i < world->options.node_count; i++) {
 		struct world_node *node = &world->nodes[i];
 
 		node_destroy(node->node);
-		g_queue_clear_full(&node->held, held_destroy);
+		g_queue_clear_full(&node->deferred, deferred_destroy);
 		g_hash_table_unref(node->attempts);
 		g_free(node->name);
 		g_free(node->http_address);
--- a/bench/world_state.h
+++ b/bench/world_state.h
@@ -8,20 +8,20 @@
 G_BEGIN_DECLS
 
 /*
- * The world's state and the functions its parts call in one another. Private
- * to bench/world*.c:
+ * The world's state and the functions shared by its source files. Private to
+ * bench/world*.c:
  *
- *   world.c           life, the loop, links, configuration
- *   world_node.c      nodes: their life, steps and actions
+ *   world.c           creation, the event loop, links, configuration
+ *   world_node.c      nodes: start and end, steps and actions
  *   world_call.c      callers
  *   world_attempt.c   connections from nodes to endpoints and nodes
  *   world_endpoint.c  model engines and plain endpoints
  *   world_stream.c    generations at engines and their readers
- *   world_load.c      load that homes ask endpoints for
+ *   world_load.c      load reports that homes request from endpoints
  *   world_kv.c        key-value service
  */
 
-#define NOT_BOUND (-1)
+#define INDEX_NONE (-1) /* no node or endpoint */
 
 struct world_node {
 	struct node *node; /* NULL: dead */
@@ -31,8 +31,8 @@
 	uint64_t incarnation;
 	bool paused;
 	int64_t wake_us;      /* of the wake-up in the queue */
-	GQueue held;	      /* struct queued, while paused */
-	GHashTable *attempts; /* number: struct world_attempt */
+	GQueue deferred;      /* struct queued that came due during a pause */
+	GHashTable *attempts; /* attempt number to struct world_attempt */
 };
 
 /* A caller's connection to a node. */
@@ -40,8 +40,8 @@
 	uint64_t call;
 	int32_t node;
 	uint64_t incarnation;
-	struct world_attempt *origin; /* forwarded by another node, or NULL */
-	GString *forwarded;	      /* what a forwarded stream carried */
+	struct world_attempt *origin; /* of the forwarding node, or NULL */
+	GString *forwarded;	      /* text of a forwarded stream so far */
 	GQueue answers;		      /* struct action_list, one action each */
 };
 
@@ -49,41 +49,41 @@
 	char *address;
 	bool is_engine;
 	bool alive;
-	bool leaving;	       /* in its load report */
-	int64_t leaving_vm_us; /* from when on the VM list says so */
+	bool leaving;	       /* according to its load report */
+	int64_t leaving_vm_us; /* when the VM list starts to show it */
 	int64_t stalled_until_us;
-	struct engine_model *model; /* engines */
+	struct engine_model *model; /* NULL for plain endpoints */
 	int64_t wake_us;	    /* of the wake-up in the queue */
-	GPtrArray *open;	    /* plain: struct world_attempt served */
+	GPtrArray *open; /* plain: struct world_attempt in progress */
 };
 
-/* A generation at an engine; it outlives its reader for hold_us. */
+/* A generation at an engine; it is kept for hold_us without a reader. */
 struct world_stream {
 	struct world_run *run;
 	struct world_attempt *reader; /* NULL: none */
-	int64_t sent;		      /* tokens given to the reader */
+	int64_t sent;		      /* tokens sent to the reader */
 	bool flush_queued;
-	uint64_t reader_epoch; /* raised when the reader changes */
+	uint64_t reader_epoch; /* incremented when the reader changes */
 };
 
 /* A node's connection to an endpoint or to another node. */
 struct world_attempt {
 	int32_t node;
 	uint64_t number;
-	int32_t endpoint;  /* NOT_BOUND: another node */
-	int32_t peer_node; /* when the endpoint is one */
-	uint64_t call;	   /* of the sending node */
-	uint64_t forwarded_call;
+	int32_t endpoint;	 /* INDEX_NONE: to another node */
+	int32_t peer_node;	 /* INDEX_NONE: to an endpoint */
+	uint64_t call;		 /* at the sending node */
+	uint64_t forwarded_call; /* at the peer node */
 	int32_t priority;
-	struct request *request; /* NULL: resume */
-	char *generation;	 /* resume */
-	int64_t next_token;
-	bool let_go; /* by the node: it hears nothing more */
-	bool keep_running;
-	bool ended;  /* by the other side: its last event is on its way */
-	bool paused; /* the node does not read */
+	struct request *request; /* NULL: resumes generation */
+	char *generation;	 /* to resume, or NULL */
+	int64_t next_token;	 /* first token that the node lacks */
+	bool closed;	   /* by the node: no more events are delivered to it */
+	bool keep_running; /* the generation outlives the closed attempt */
+	bool ended;	   /* by the other side: the last event is queued */
+	bool paused;	   /* the node does not read */
 	struct world_stream *stream;
-	GQueue events; /* struct attempt_event on their way to the node */
+	GQueue events; /* struct attempt_event in transit to the node */
 };
 
 struct world {
@@ -98,13 +98,13 @@
 	struct world_endpoint *endpoints;
 	int32_t endpoint_count;
 	int32_t party_count;
-	bool *cut; /* party_count squared: from, to */
+	bool *cut; /* party_count squared, indexed by from and to */
 
-	GArray *roots; /* uint64_t by call: the caller's own, if forwarded */
-	GHashTable *callers; /* call: struct world_caller */
-	GPtrArray *runs;
-	GHashTable *streams; /* number of the run: struct world_stream */
-	GArray *outputs;
+	GArray *root_calls;  /* uint64_t by call: the client's original call */
+	GHashTable *callers; /* call to struct world_caller */
+	GPtrArray *runs;     /* struct world_run */
+	GHashTable *streams; /* run number to struct world_stream */
+	GArray *outputs;     /* struct engine_output not yet handled */
 
 	struct kv_model *kv;
 	struct world_kv_mode kv_mode;
@@ -161,7 +161,7 @@
 /* world_endpoint.c */
 void world_endpoints_create(struct world *world);
 void world_endpoints_destroy(struct world *world);
-void world_endpoint_take(struct world *world, struct world_attempt *attempt);
+void world_endpoint_accept(struct world *world, struct world_attempt *attempt);
 int32_t world_find_endpoint(const struct world *world, const char *address);
 void world_engine_run(struct world *world, int32_t index);
 void world_engine_queue_wake(struct world *world,
@@ -172,7 +172,8 @@
 void world_stream_attach(struct world *world, struct world_stream *stream,
 			 struct world_attempt *attempt);
 void world_stream_resume(struct world *world, struct world_attempt *attempt);
-void world_stream_let_go(struct world *world, struct world_attempt *attempt);
+void world_stream_reader_closed(struct world *world,
+				struct world_attempt *attempt);
 void world_stream_flush(struct world *world, struct world_stream *stream);
 void world_stream_queue_flush(struct world *world, struct world_stream *stream);
 void world_streams_drop(struct world *world, int32_t endpoint);
--- a/bench/world_stream.c
+++ b/bench/world_stream.c
@@ -1,11 +1,11 @@
 #include "bench/world_state.h"
 
 /*
- * Generations at model engines and their readers. A generation outlives its
- * reader for hold_us, so that a node may attach to it again.
+ * Generations at model engines and their readers. A generation is kept for
+ * hold_us without a reader, so that a node can reattach to it.
  */
 
-/* The generation of this run, while the engine knows it; else NULL. */
+/* Returns the generation of a run, or NULL once the engine has removed it. */
 struct world_stream *world_find_stream(struct world *world, uint64_t number)
 {
 	return g_hash_table_lookup(world->streams, &number);
@@ -22,7 +22,10 @@
 	world_stream_flush(world, stream);
 }
 
-/* Gives the reader what was made, at once or with what comes next. */
+/*
+ * Flushes new tokens to the reader: at once if chunk_us is 0 or the generation
+ * is complete, else after chunk_us together with later tokens.
+ */
 void world_stream_queue_flush(struct world *world, struct world_stream *stream)
 {
 	if (!world->options.chunk_us || stream->run->finished) {
@@ -37,12 +40,13 @@
 		   g_memdup2(&stream->run->number, sizeof(uint64_t)), g_free);
 }
 
+/* Expiry of a generation that has no reader. */
 struct hold {
 	uint64_t number;
 	uint64_t reader_epoch;
 };
 
-static void stream_forget(struct world *world, struct world_stream *stream)
+static void stream_remove(struct world *world, struct world_stream *stream)
 {
 	struct world_endpoint *engine =
 		&world->endpoints[stream->run->endpoint];
@@ -54,13 +58,13 @@
 	world_engine_queue_wake(world, engine);
 }
 
-static void hold_ended(struct world *world, void *data)
+static void hold_expired(struct world *world, void *data)
 {
 	const struct hold *hold = data;
 	struct world_stream *stream = world_find_stream(world, hold->number);
 
 	if (stream && stream->reader_epoch == hold->reader_epoch)
-		stream_forget(world, stream);
+		stream_remove(world, stream);
 }
 
 static void stream_detach(struct world *world, struct world_stream *stream)
@@ -73,11 +77,11 @@
 	g_clear_pointer(&stream->reader, world_attempt_unref);
 	hold = g_new(struct hold, 1);
 	*hold = (struct hold){stream->run->number, ++stream->reader_epoch};
-	world_post(world, world->now_us + world->options.hold_us, hold_ended,
+	world_post(world, world->now_us + world->options.hold_us, hold_expired,
 		   hold, g_free);
 }
 
-/* A reader takes the place of the one before, if there is one. */
+/* Attaches a reader; the previous reader, if any, is disconnected. */
 void world_stream_attach(struct world *world, struct world_stream *stream,
 			 struct world_attempt *attempt)
 {
@@ -93,7 +97,7 @@
 	world_stream_flush(world, stream);
 }
 
-/* Gives the reader what it does not have yet, and the end of a whole one. */
+/* Sends the reader all unsent tokens, and the end of a complete generation. */
 void world_stream_flush(struct world *world, struct world_stream *stream)
 {
 	struct world_run *run = stream->run;
@@ -110,8 +114,9 @@
 	stream_detach(world, stream);
 }
 
-/* The node closed the connection, or cancels what runs on it. */
-void world_stream_let_go(struct world *world, struct world_attempt *attempt)
+/* Handles a reader's close: detaches it, or cancels the generation. */
+void world_stream_reader_closed(struct world *world,
+				struct world_attempt *attempt)
 {
 	struct world_stream *stream = attempt->stream;
 
@@ -120,10 +125,14 @@
 	if (attempt->keep_running)
 		stream_detach(world, stream);
 	else
-		stream_forget(world, stream);
+		stream_remove(world, stream);
 }
 
-/* A node attaches to a generation. */
+/*
+ * Reattaches a node to a generation. The attempt fails with ATTEMPT_GONE if the
+ * endpoint does not have the generation or the requested token lies ahead of
+ * it.
+ */
 void world_stream_resume(struct world *world, struct world_attempt *attempt)
 {
 	struct world_stream *stream = NULL;
@@ -140,8 +149,8 @@
 	world_stream_attach(world, stream, attempt);
 }
 
-static gboolean stream_is_of(gpointer key G_GNUC_UNUSED, gpointer value,
-			     gpointer data)
+static gboolean stream_is_at_endpoint(gpointer key G_GNUC_UNUSED,
+				      gpointer value, gpointer data)
 {
 	const struct world_stream *stream = value;
 
@@ -163,7 +172,7 @@
 	}
 }
 
-/* Frees a generation and lets its reader go. */
+/* Frees a generation and detaches its reader. */
 void world_stream_destroy(gpointer data)
 {
 	struct world_stream *stream = data;
@@ -175,9 +184,10 @@
 	g_free(stream);
 }
 
-/* The process of an engine ended: its generations are gone. */
+/* Removes all generations of an engine whose process has ended. */
 void world_streams_drop(struct world *world, int32_t endpoint)
 {
 	streams_fail_readers(world, endpoint);
-	g_hash_table_foreach_remove(world->streams, stream_is_of, &endpoint);
+	g_hash_table_foreach_remove(world->streams, stream_is_at_endpoint,
+				    &endpoint);
 }
--- a/tests/world_test.cc
+++ b/tests/world_test.cc
@@ -87,10 +87,11 @@
 } // namespace
 
 /*
- * A node stands still for six seconds. Requests come in, then one of two
- * endpoints leaves. When the node goes on, it takes the requests first and
- * knows the endpoints as they were. None may go to the one that left: they are
- * held until the node has heard what happened.
+ * Guards against dispatch to an endpoint that left during a pause. A node is
+ * paused for six seconds; requests arrive, then one of two endpoints leaves.
+ * After the pause the node handles the requests first, while its state of the
+ * endpoints is still outdated. It must hold the requests until that state is
+ * current, so that none goes to the endpoint that left.
  */
 TEST_F(World, ANodeThatStoodStillSendsNothingToAnEndpointThatLeft)
 {
@@ -120,10 +121,11 @@
 }
 
 /*
- * Requests wait for the one slot of a slow endpoint. Two nodes die in turn and
- * come back, so the endpoint's shard changes its home to the third node and
- * back. A node that is home no more has dropped its tickets, those of its own
- * requests too: unless it asks the new home, their callers wait for ever.
+ * Guards against requests that wait for ever after a change of home. Requests
+ * wait for the one slot of a slow endpoint. Two nodes are killed and restarted
+ * one after the other, so the home of the endpoint's shard moves to the third
+ * node and back. A former home drops all its tickets, also those of its own
+ * requests, so it must request new ones from the new home.
  */
 TEST_F(World, RequestsThatWaitAtAFormerHomeArePlacedAgain)
 {
@@ -155,9 +157,10 @@
 }
 
 /*
- * A draining node stands still until after it would have stopped, and requests
- * come in meanwhile. When it goes on it has no call open and its time is over;
- * it must still answer what has come, if only by a refusal.
+ * Guards against a draining node that stops without answering. The node is
+ * paused until after its drain deadline, and requests arrive in the meantime.
+ * After the pause it has no open call and its deadline has passed; it must
+ * still answer these requests, if only by a refusal.
  */
 TEST_F(World, ADrainingNodeThatStoodStillAnswersWhatHasCome)
 {
