--- a/bench/policy_bench.c
+++ b/bench/policy_bench.c
@@ -10,8 +10,8 @@
 #include <string.h>
 
 /*
- * Compares the policies on the same workloads, faults and seeds, in virtual
- * time, and prints the median of each figure over the seeds.
+ * Compares the placement policies on the same workloads, faults and seeds, in
+ * virtual time, and prints the median of each figure over the seeds.
  */
 struct bench_run {
 	const struct scenario *scenario;
@@ -87,7 +87,7 @@
 	[FIGURE_BROKEN_PER_1000] = "broken",
 };
 
-static bool list_has(const char *list, const char *name)
+static bool list_includes(const char *list, const char *name)
 {
 	char **parts;
 	bool found;
@@ -112,16 +112,16 @@
 	direct_run(run->scenario, run->policy, run->seed, run->figures);
 }
 
-static GArray *bench_plan(const struct bench_options *options)
+static GArray *bench_list_runs(const struct bench_options *options)
 {
 	GArray *runs = g_array_new(FALSE, TRUE, sizeof(struct bench_run));
 
 	for (size_t i = 0; i < scenario_count(); i++) {
-		if (!list_has(options->workload, scenarios[i].name))
+		if (!list_includes(options->workload, scenarios[i].name))
 			continue;
 		for (int policy = 0; policy < BENCH_POLICIES; policy++) {
-			if (!list_has(options->policy,
-				      bench_policy_name(policy)))
+			if (!list_includes(options->policy,
+					   bench_policy_name(policy)))
 				continue;
 			for (int n = 0; n < options->seeds; n++) {
 				struct bench_run run = {
@@ -252,15 +252,16 @@
 		{"seed-from", 0, POPT_ARG_INT, &options->seed_from, 0,
 		 "first seed", "N"},
 		{"threads", 0, POPT_ARG_INT, &options->threads, 0,
-		 "runs at once", "N"},
+		 "parallel runs", "N"},
 		{"direct", 0, POPT_ARG_NONE, &options->direct, 0,
-		 "the placement alone, without nodes around it", NULL},
+		 "run the placement alone, without nodes", NULL},
 		{"slope", 0, POPT_ARG_NONE, &options->slope, 0,
-		 "only the time per decision by number of engines", NULL},
+		 "print only the time per decision by number of engines", NULL},
 		{"policy", 0, POPT_ARG_STRING, &options->policy, 0,
-		 "only these: naive,shares,previous,project,oracle", "LIST"},
+		 "run only these: naive,shares,previous,project,oracle",
+		 "LIST"},
 		{"workload", 0, POPT_ARG_STRING, &options->workload, 0,
-		 "only these, by name", "LIST"},
+		 "run only these workloads", "LIST"},
 		{"csv", 0, POPT_ARG_STRING, &options->csv, 0,
 		 "write every run to a file", "FILE"},
 		POPT_AUTOHELP POPT_TABLEEND};
@@ -289,7 +290,7 @@
 		slope_print();
 		return 0;
 	}
-	runs = bench_plan(&options);
+	runs = bench_list_runs(&options);
 	bench_execute(&options, runs);
 	bench_print(&options, runs);
 	if (options.csv)
--- a/bench/region.c
+++ b/bench/region.c
@@ -10,10 +10,10 @@
 #include <string.h>
 #include <time.h>
 
-#define SPREAD_LIMIT_US (60 * G_USEC_PER_SEC)
-#define REVISION_FIRST 2
+#define PROPAGATION_LIMIT_US (60 * G_USEC_PER_SEC)
+#define FIRST_REVISION 2
 
-/* The letter's ratios, of one region: 1/10 of each of its numbers. */
+/* Sets the defaults: one region with 1/10 of each of the required numbers. */
 void region_options_default(struct region_options *options)
 {
 	memset(options, 0, sizeof(*options));
@@ -30,7 +30,7 @@
 	options->seed = 1;
 }
 
-static uint64_t thread_ns(void)
+static uint64_t thread_cpu_ns(void)
 {
 	struct timespec time;
 
@@ -56,17 +56,17 @@
 }
 
 /*
- * The time of a step counts as control unless a caller or an engine caused
- * it; encoding and decoding of records count with the step they belong to.
+ * Runs one step of a node. Its time counts as control unless a caller or an
+ * engine caused the step. Encoding and decoding of records count as control.
  */
 static void region_step(struct region *region, int32_t node,
 			const struct event *event)
 {
-	uint64_t start_ns = thread_ns();
+	uint64_t start_ns = thread_cpu_ns();
 	uint64_t spent_ns;
 
 	node_step(region->nodes[node], region->now_us, event, region->actions);
-	spent_ns = thread_ns() - start_ns;
+	spent_ns = thread_cpu_ns() - start_ns;
 	if (event_is_data(event))
 		region->data_ns += spent_ns;
 	else
@@ -75,39 +75,39 @@
 		region->grant_ns += spent_ns;
 		region->grants++;
 	}
-	start_ns = thread_ns();
-	region_apply(region, node);
-	region->control_ns += thread_ns() - start_ns;
+	start_ns = thread_cpu_ns();
+	region_execute_actions(region, node);
+	region->control_ns += thread_cpu_ns() - start_ns;
 }
 
 static void region_deliver(struct region *region, struct item *item)
 {
-	struct flow *flow;
+	struct generation *generation;
 	struct error error;
 	uint64_t key;
-	uint64_t start_ns = thread_ns();
+	uint64_t start_ns = thread_cpu_ns();
 
 	if (item->event.type == EVENT_PEER) {
 		item->message = peer_codec_decode(item->data, &error);
 		if (!item->message)
 			g_error("%s: %s", error.step, error.detail);
 		item->event.peer = item->message;
-		region->control_ns += thread_ns() - start_ns;
+		region->control_ns += thread_cpu_ns() - start_ns;
 	}
 	if (item->event.type == EVENT_KV)
 		item->event.kv = &item->kv;
 	region_step(region, item->node, &item->event);
 	if (item->event.type != EVENT_ATTEMPT_CHUNK)
 		return;
-	key = region_flow_key(item->node, item->event.chunk.attempt);
-	flow = g_hash_table_lookup(region->flows, &key);
-	if (!flow)
+	key = region_generation_key(item->node, item->event.chunk.attempt);
+	generation = g_hash_table_lookup(region->generations, &key);
+	if (!generation)
 		return;
-	flow->made += item->event.chunk.token_count;
-	region_flow_next(region, flow);
+	generation->generated += item->event.chunk.token_count;
+	region_generation_continue(region, generation);
 }
 
-static void region_call(struct region *region, int32_t node)
+static void region_add_call(struct region *region, int32_t node)
 {
 	const struct region_options *options = &region->options;
 	struct request *request = request_create(REQUEST_GENERATION);
@@ -158,10 +158,10 @@
 	return next;
 }
 
-/* Runs for so long, in us of virtual time. */
-void region_run(struct region *region, int64_t for_us)
+/* Runs the region for duration_us of virtual time. */
+void region_run(struct region *region, int64_t duration_us)
 {
-	int64_t until_us = region->now_us + for_us;
+	int64_t until_us = region->now_us + duration_us;
 	struct event timer = {.type = EVENT_TIMER};
 
 	for (;;) {
@@ -188,12 +188,12 @@
 		}
 		region->next_arrival_us[node] =
 			region->now_us + region_interarrival_us(region);
-		region_call(region, node);
+		region_add_call(region, node);
 	}
 	region->now_us = until_us;
 }
 
-static GBytes *region_document(const struct region *region)
+static GBytes *region_format_config(const struct region *region)
 {
 	const struct region_options *options = &region->options;
 	struct config *config = config_create();
@@ -254,16 +254,19 @@
 	options.seed = region->options.seed * 1000 + (uint64_t)i;
 	options.event_key = "bench-event-key-0001";
 	region->nodes[i] = node_create(&options);
-	g_hash_table_insert(region->by_peer, g_strdup(peer),
+	g_hash_table_insert(region->node_by_address, g_strdup(peer),
 			    GINT_TO_POINTER(i + 1));
 	node_start(region->nodes[i], region->now_us, region->actions);
-	region_apply(region, i);
+	region_execute_actions(region, i);
 	g_free(name);
 	g_free(http);
 	g_free(peer);
 }
 
-/* Nodes that have just started, with a configuration to read. */
+/*
+ * Creates a region of nodes that have just started, with a configuration in
+ * the store. The caller owns it and frees it with region_destroy().
+ */
 struct region *region_create(const struct region_options *options)
 {
 	static const char *const seeds[] = {"10.250.0.1:8090",
@@ -272,16 +275,16 @@
 
 	region->options = *options;
 	region->actions = action_list_create();
-	region->by_peer =
+	region->node_by_address =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	region->heap = g_ptr_array_new_with_free_func(region_item_destroy);
-	region->flows = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					      g_free, g_free);
+	region->generations = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						    g_free, g_free);
 	region->now_us = G_USEC_PER_SEC;
 	region->random = g_rand_new_with_seed(options->seed);
 	region->chunk = g_bytes_new_static("{\"tokens\":8}", 12);
-	region->document = region_document(region);
-	region->revision = REVISION_FIRST;
+	region->document = region_format_config(region);
+	region->revision = FIRST_REVISION;
 	region->nodes = g_new0(struct node *, options->nodes);
 	region->watching = g_new0(bool, options->nodes);
 	region->next_arrival_us = g_new0(int64_t, options->nodes);
@@ -307,8 +310,8 @@
 	g_free(region->watching);
 	g_free(region->next_arrival_us);
 	g_ptr_array_unref(region->heap);
-	g_hash_table_destroy(region->flows);
-	g_hash_table_destroy(region->by_peer);
+	g_hash_table_destroy(region->generations);
+	g_hash_table_destroy(region->node_by_address);
 	action_list_destroy(region->actions);
 	g_bytes_unref(region->chunk);
 	g_bytes_unref(region->document);
@@ -316,7 +319,7 @@
 	g_free(region);
 }
 
-/* Forgets what was counted so far. */
+/* Resets all counters. */
 void region_start_measure(struct region *region)
 {
 	region->measure_from_us = region->now_us;
@@ -332,7 +335,7 @@
 	memset(region->bytes_by_type, 0, sizeof(region->bytes_by_type));
 }
 
-/* What was counted since the start of the measurement, for each node. */
+/* Fills in the cost per node since region_start_measure(). */
 void region_stop_measure(struct region *region, struct region_cost *cost)
 {
 	double seconds = (double)(region->now_us - region->measure_from_us) /
@@ -346,7 +349,7 @@
 	cost->kv_calls_per_s = (double)region->kv_calls / node_seconds;
 	cost->polls_per_s = (double)region->polls / node_seconds;
 	cost->calls_per_s = (double)region->calls / node_seconds;
-	cost->open_calls = (double)g_hash_table_size(region->flows) /
+	cost->open_calls = (double)g_hash_table_size(region->generations) /
 			   region->options.nodes;
 	cost->grant_us = region->grants ? (double)region->grant_ns / 1e3 /
 						  (double)region->grants
@@ -356,7 +359,7 @@
 			(double)region->bytes_by_type[i] / node_seconds;
 }
 
-/* Bytes that the process has allocated and not freed. */
+/* Returns the bytes that the process has allocated and not freed. */
 int64_t region_allocated_bytes(void)
 {
 	struct mallinfo2 info = mallinfo2();
@@ -379,7 +382,11 @@
 	return true;
 }
 
-/* Writes a new revision and waits until it is in force everywhere. */
+/*
+ * Writes a new configuration revision and runs until all nodes have it, at
+ * most PROPAGATION_LIMIT_US. Returns the time that passed, in us of virtual
+ * time.
+ */
 int64_t region_spread_config(struct region *region)
 {
 	int64_t start_us = region->now_us;
@@ -390,7 +397,7 @@
 			region_send_watch(region, i);
 	}
 	while (!region_has_config(region, region->revision) &&
-	       region->now_us < start_us + SPREAD_LIMIT_US)
+	       region->now_us < start_us + PROPAGATION_LIMIT_US)
 		region_run(region, 5000);
 	return region->now_us - start_us;
 }
--- a/bench/region_answer.c
+++ b/bench/region_answer.c
@@ -4,70 +4,81 @@
 
 #include <string.h>
 
-static void region_queue_chunk(struct region *region, const struct flow *flow,
+static void region_queue_chunk(struct region *region,
+			       const struct generation *generation,
 			       int64_t tokens)
 {
 	struct item *item = region_item_create(
-		flow->node, region->now_us + tokens * region->options.token_us,
+		generation->node,
+		region->now_us + tokens * region->options.token_us,
 		EVENT_ATTEMPT_CHUNK);
 
-	item->event.chunk.attempt = flow->attempt;
-	item->event.chunk.first_token = flow->made;
+	item->event.chunk.attempt = generation->attempt;
+	item->event.chunk.first_token = generation->generated;
 	item->event.chunk.token_count = tokens;
 	item->data = g_bytes_ref(region->chunk);
 	item->event.chunk.data = item->data;
 	region_queue_push(region, item);
 }
 
-/* A generation, by who asked for it. */
-uint64_t region_flow_key(int32_t node, uint64_t attempt)
+/* Returns the key of a generation: node in the upper 16 bits, then attempt. */
+uint64_t region_generation_key(int32_t node, uint64_t attempt)
 {
 	return ((uint64_t)node << 48) | attempt;
 }
 
-/* What a generation makes next, or its end. */
-void region_flow_next(struct region *region, struct flow *flow)
+/*
+ * Queues the next chunk of a generation, or its end. After the end the
+ * generation is removed and freed.
+ */
+void region_generation_continue(struct region *region,
+				struct generation *generation)
 {
-	int64_t left = region->options.output_tokens - flow->made;
-	uint64_t key = region_flow_key(flow->node, flow->attempt);
+	int64_t remaining =
+		region->options.output_tokens - generation->generated;
+	uint64_t key =
+		region_generation_key(generation->node, generation->attempt);
 	struct item *item;
 
-	if (left > 0) {
-		region_queue_chunk(region, flow,
-				   MIN(left, region->options.chunk_tokens));
+	if (remaining > 0) {
+		region_queue_chunk(
+			region, generation,
+			MIN(remaining, region->options.chunk_tokens));
 		return;
 	}
-	item = region_item_create(flow->node, region->now_us,
+	item = region_item_create(generation->node, region->now_us,
 				  EVENT_ATTEMPT_DONE);
-	item->event.done.attempt = flow->attempt;
-	item->event.done.token_count = flow->made;
+	item->event.done.attempt = generation->attempt;
+	item->event.done.token_count = generation->generated;
 	item->event.done.finish_reason = "stop";
 	region_queue_push(region, item);
-	g_hash_table_remove(region->flows, &key);
+	g_hash_table_remove(region->generations, &key);
 }
 
-static void region_send(struct region *region, int32_t node,
-			const struct action_attempt_send *send)
+static void region_start_generation(struct region *region, int32_t node,
+				    const struct action_attempt_send *send)
 {
-	struct flow *flow = g_new0(struct flow, 1);
-	uint64_t key = region_flow_key(node, send->attempt);
+	struct generation *generation = g_new0(struct generation, 1);
+	uint64_t key = region_generation_key(node, send->attempt);
 	struct item *item =
 		region_item_create(node, region->now_us, EVENT_ATTEMPT_STARTED);
 
-	flow->node = node;
-	flow->attempt = send->attempt;
-	g_hash_table_insert(region->flows, g_memdup2(&key, sizeof(key)), flow);
+	generation->node = node;
+	generation->attempt = send->attempt;
+	g_hash_table_insert(region->generations, g_memdup2(&key, sizeof(key)),
+			    generation);
 	item->event.started.attempt = send->attempt;
 	item->text = g_strdup_printf("g%" G_GUINT64_FORMAT, send->attempt);
 	item->event.started.generation = item->text;
 	region_queue_push(region, item);
-	region_queue_chunk(region, flow, 1);
+	region_queue_chunk(region, generation, 1);
 }
 
 static void region_send_record(struct region *region, int32_t from,
 			       struct action_peer_send *send)
 {
-	gpointer to = g_hash_table_lookup(region->by_peer, send->peer_address);
+	gpointer to = g_hash_table_lookup(region->node_by_address,
+					  send->peer_address);
 	GBytes *record = peer_codec_encode(send->message);
 	struct item *item;
 
@@ -127,7 +138,7 @@
 	region_queue_push(region, item);
 }
 
-/* A state of the watched key, as the service sends it. */
+/* Queues an update of the watched configuration key for a node. */
 void region_send_watch(struct region *region, int32_t node)
 {
 	struct item *item = region_item_create(
@@ -141,8 +152,8 @@
 	region_queue_push(region, item);
 }
 
-/* Carries out what a node asks for. */
-void region_apply(struct region *region, int32_t node)
+/* Executes and clears the actions that a node has requested. */
+void region_execute_actions(struct region *region, int32_t node)
 {
 	for (size_t i = 0; i < action_list_count(region->actions); i++) {
 		struct action *action = action_list_get(region->actions, i);
@@ -152,7 +163,7 @@
 			region_send_record(region, node, &action->peer_send);
 			break;
 		case ACTION_ATTEMPT_SEND:
-			region_send(region, node, &action->send);
+			region_start_generation(region, node, &action->send);
 			break;
 		case ACTION_KV:
 			region_answer_kv(region, node, &action->kv);
--- a/bench/region_queue.c
+++ b/bench/region_queue.c
@@ -1,6 +1,6 @@
 #include "bench/region_state.h"
 
-/* An event that is to happen, to be filled in. */
+/* Creates an event for a node at at_us; the caller owns it and fills it in. */
 struct item *region_item_create(int32_t node, int64_t at_us,
 				enum event_type type)
 {
@@ -12,7 +12,7 @@
 	return item;
 }
 
-/* Frees it with what it owns. */
+/* Frees an item and everything that it owns. */
 void region_item_destroy(gpointer data)
 {
 	struct item *item = data;
@@ -32,7 +32,7 @@
 	return a->order < b->order;
 }
 
-/* Queues it, in its order among those of the same time. */
+/* Queues an item, after those of the same time; the queue owns it. */
 void region_queue_push(struct region *region, struct item *item)
 {
 	GPtrArray *heap = region->heap;
@@ -47,7 +47,7 @@
 	heap->pdata[i] = item;
 }
 
-/* Takes the earliest; NULL: nothing is left. */
+/* Removes and returns the earliest item; the queue must not be empty. */
 struct item *region_queue_pop(struct region *region)
 {
 	GPtrArray *heap = region->heap;
--- a/bench/region_state.h
+++ b/bench/region_state.h
@@ -11,39 +11,40 @@
 G_BEGIN_DECLS
 
 /*
- * What the parts of the region share. region.c: its life, and what is measured.
- * region_queue.c: what is still to happen. region_answer.c: how engines, the
- * key-value service and the other nodes answer.
+ * Internals that the source files of the region share. region.c creates, runs
+ * and frees it and counts the cost. region_queue.c is the queue of pending
+ * events. region_answer.c simulates the answers of engines and of the
+ * key-value service, and carries records between nodes.
  */
 
 #define CONFIG_KEY "/siskinlink/config"
 
-/* What is still to happen; earliest first, then first queued first. */
+/* A pending event; ordered by time, then by order of queueing. */
 struct item {
 	int64_t at_us;
 	uint64_t order;
 	int32_t node;
 	struct event event;
 	struct peer_message *message; /* owned; EVENT_PEER */
-	char *text;		      /* owned; load's endpoint, generation */
-	GBytes *data;		      /* owned; chunks, watched values */
-	struct kv_answer kv;	      /* owned; EVENT_KV */
+	char *text;	     /* owned; endpoint of a load, generation */
+	GBytes *data;	     /* owned; records, chunks, watched values */
+	struct kv_answer kv; /* owned; EVENT_KV */
 };
 
-/* One generation at an engine that only answers. */
-struct flow {
+/* A generation at a simulated engine. */
+struct generation {
 	int32_t node;
 	uint64_t attempt;
-	int64_t made;
+	int64_t generated;
 };
 
 struct region {
 	struct region_options options;
 	struct node **nodes;
 	struct action_list *actions;
-	GHashTable *by_peer; /* peer address to node number + 1 */
-	GPtrArray *heap;     /* struct item, a binary heap */
-	GHashTable *flows;   /* node and attempt to struct flow */
+	GHashTable *node_by_address; /* peer address to node number + 1 */
+	GPtrArray *heap;	     /* struct item, a binary heap */
+	GHashTable *generations;     /* node and attempt to struct generation */
 	uint64_t order;
 	uint64_t next_call;
 	int64_t now_us;
@@ -75,10 +76,11 @@
 struct item *region_queue_pop(struct region *region);
 
 /* region_answer.c */
-uint64_t region_flow_key(int32_t node, uint64_t attempt);
-void region_flow_next(struct region *region, struct flow *flow);
+uint64_t region_generation_key(int32_t node, uint64_t attempt);
+void region_generation_continue(struct region *region,
+				struct generation *generation);
 void region_send_watch(struct region *region, int32_t node);
-void region_apply(struct region *region, int32_t node);
+void region_execute_actions(struct region *region, int32_t node);
 
 G_END_DECLS
 
--- a/bench/scenario.c
+++ b/bench/scenario.c
@@ -42,12 +42,13 @@
 	[BENCH_ORACLE] = "oracle",
 };
 
+/* Returns the number of scenarios. */
 size_t scenario_count(void)
 {
 	return G_N_ELEMENTS(scenarios);
 }
 
-/* The scenario of this name, or NULL. */
+/* Returns the scenario of this name, or NULL. */
 const struct scenario *scenario_find(const char *name)
 {
 	for (size_t i = 0; i < scenario_count(); i++)
@@ -56,7 +57,7 @@
 	return NULL;
 }
 
-/* The workload that a scenario asks for. */
+/* Fills in the workload options of a scenario. */
 void scenario_workload(const struct scenario *scenario, uint64_t seed,
 		       struct workload_options *options)
 {
@@ -78,13 +79,13 @@
 	}
 }
 
-/* Name of a policy, as on the command line. */
+/* Returns the name of a policy, as on the command line. */
 const char *bench_policy_name(enum bench_policy policy)
 {
 	return policy_names[policy];
 }
 
-/* The placement that a policy of the bench runs on. */
+/* Returns the placement policy that a policy of the benchmark uses. */
 enum placement_policy bench_policy_placement(enum bench_policy policy)
 {
 	switch (policy) {
--- a/bench/scenario.h
+++ b/bench/scenario.h
@@ -11,7 +11,7 @@
 
 G_BEGIN_DECLS
 
-/* A workload with what goes wrong in it, and the policies compared on it. */
+/* Policies that the benchmark compares on each scenario. */
 enum bench_policy {
 	BENCH_NAIVE,
 	BENCH_SHARES,
@@ -24,28 +24,29 @@
 enum fault {
 	FAULT_NONE,
 	FAULT_CRASH,	   /* an engine crashes and restarts a minute later */
-	FAULT_RECLAIM,	   /* two engines leave at short notice */
-	FAULT_STALL,	   /* an engine makes no tokens for 20 s */
+	FAULT_RECLAIM,	   /* two engines are reclaimed at short notice */
+	FAULT_STALL,	   /* an engine generates no tokens for 20 s */
 	FAULT_SLOW,	   /* an engine takes four times as long */
 	FAULT_LATE_LOAD,   /* load reports come 5 s late */
-	FAULT_LYING_LOAD,  /* reports are negative, absurd or of an empty engine
-			    */
-	FAULT_NODE_LOST,   /* an entry node dies */
-	FAULT_HOME_LOST,   /* the home of the engines dies, and returns */
-	FAULT_HOME_PAUSED, /* it stands still for 15 s, then goes on */
+	FAULT_LYING_LOAD,  /* load reports are negative, implausible or
+			    * those of an empty engine */
+	FAULT_NODE_LOST,   /* an entry node crashes */
+	FAULT_HOME_LOST,   /* the home of the engines crashes, restarts */
+	FAULT_HOME_PAUSED, /* the home is paused for 15 s */
 	FAULT_KV_OUTAGE,   /* the key-value service is down for a minute */
 	FAULTS
 };
 
+/* A workload and the fault that occurs in it. */
 struct scenario {
 	const char *name;
 	const char *text;
 	double load;
 	double burst;
-	double shift; /* of lengths in mid-run; 0: none */
-	double flood; /* of the first organisation's rate; 0: none */
+	double shift; /* factor of report lengths from mid-run; 0: none */
+	double flood; /* factor of the first organisation's rate; 0: none */
 	enum fault fault;
-	bool shift_keeps_load;
+	bool shift_keeps_load; /* the shift lowers the rate to match */
 };
 
 #define SCENARIO_MID_US (150 * G_USEC_PER_SEC)
--- a/bench/slope.c
+++ b/bench/slope.c
@@ -7,16 +7,16 @@
 
 #define CALLS_PER_ENGINE 35
 #define DECISIONS 4000
-#define DECISIONS_PER_ENGINE_S 3.2 /* 38,000 a second on 12,000 engines */
-#define PROGRESS_US 250000
-#define INTERVAL_US 15000
+#define DECISIONS_PER_ENGINE_S 3.2 /* 38,000/s on 12,000 engines */
+#define PROGRESS_PERIOD_US 250000
+#define TOKEN_INTERVAL_US 15000
 #define CAPACITY_TOKENS 60000
 #define PROMPT_TOKENS 600
 
 struct slope {
 	struct placement *placement;
-	GArray *held;	 /* uint64_t: tickets in order of placing */
-	GArray *started; /* int64_t: when */
+	GArray *tickets;       /* uint64_t, in order of placement */
+	GArray *started_at_us; /* int64_t, time of placement */
 	GArray *decisions;
 	guint next_progress;
 	uint64_t next_ticket;
@@ -70,37 +70,40 @@
 
 		if (decision->verdict != PLACEMENT_PLACED)
 			continue;
-		g_array_append_val(slope->held, decision->ticket);
-		g_array_append_val(slope->started, slope->now_us);
+		g_array_append_val(slope->tickets, decision->ticket);
+		g_array_append_val(slope->started_at_us, slope->now_us);
 	}
 }
 
-static int64_t slope_made(const struct slope *slope, guint index)
+static int64_t slope_output_tokens(const struct slope *slope, guint index)
 {
-	int64_t started_us = g_array_index(slope->started, int64_t, index);
+	int64_t started_us =
+		g_array_index(slope->started_at_us, int64_t, index);
 
-	return (slope->now_us - started_us) / INTERVAL_US;
+	return (slope->now_us - started_us) / TOKEN_INTERVAL_US;
 }
 
 static void slope_release_oldest(struct slope *slope, guint *first)
 {
-	uint64_t ticket = g_array_index(slope->held, uint64_t, *first);
+	uint64_t ticket = g_array_index(slope->tickets, uint64_t, *first);
 
 	placement_release(slope->placement, ticket, RELEASE_WHOLE,
-			  slope_made(slope, *first), slope->now_us);
+			  slope_output_tokens(slope, *first), slope->now_us);
 	(*first)++;
 }
 
-static void slope_report(struct slope *slope, guint first, int32_t count)
+static void slope_report_progress(struct slope *slope, guint first,
+				  int32_t count)
 {
-	guint live = slope->held->len - first;
+	guint running = slope->tickets->len - first;
 
-	for (int32_t i = 0; i < count && live > 0; i++) {
-		guint index = first + slope->next_progress++ % live;
+	for (int32_t i = 0; i < count && running > 0; i++) {
+		guint index = first + slope->next_progress++ % running;
 
-		placement_progress(slope->placement,
-				   g_array_index(slope->held, uint64_t, index),
-				   slope_made(slope, index), slope->now_us);
+		placement_progress(
+			slope->placement,
+			g_array_index(slope->tickets, uint64_t, index),
+			slope_output_tokens(slope, index), slope->now_us);
 	}
 }
 
@@ -108,32 +111,33 @@
 {
 	int64_t gap_us =
 		(int64_t)(G_USEC_PER_SEC / (DECISIONS_PER_ENGINE_S * engines));
-	int32_t reports =
-		(int32_t)(CALLS_PER_ENGINE * engines * gap_us / PROGRESS_US);
+	int32_t reports = (int32_t)(CALLS_PER_ENGINE * engines * gap_us /
+				    PROGRESS_PERIOD_US);
 	guint first = 0;
 
 	for (int32_t i = 0; i < CALLS_PER_ENGINE * engines; i++) {
 		slope->now_us += gap_us;
 		slope_submit(slope);
-		slope_report(slope, first, 2);
+		slope_report_progress(slope, first, 2);
 	}
 	slope->decide_us = 0;
 	slope->progress_us = 0;
 	for (int32_t i = 0; i < DECISIONS; i++) {
 		double from_us = clock_us();
-		double then_us;
+		double decided_us;
 
 		slope->now_us += gap_us;
-		if (first < slope->held->len)
+		if (first < slope->tickets->len)
 			slope_release_oldest(slope, &first);
 		slope_submit(slope);
-		then_us = clock_us();
-		slope->decide_us += then_us - from_us;
-		slope_report(slope, first, reports);
-		slope->progress_us += clock_us() - then_us;
+		decided_us = clock_us();
+		slope->decide_us += decided_us - from_us;
+		slope_report_progress(slope, first, reports);
+		slope->progress_us += clock_us() - decided_us;
 	}
 }
 
+/* Prints the mean times and the waiting requests for each number of engines. */
 void slope_print(void)
 {
 	printf("%8s %12s %12s %10s\n", "engines", "decide_us", "progress_us",
@@ -148,8 +152,9 @@
 		struct slope slope = {.next_ticket = 1};
 
 		slope.placement = placement_create(&options);
-		slope.held = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-		slope.started = g_array_new(FALSE, FALSE, sizeof(int64_t));
+		slope.tickets = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+		slope.started_at_us =
+			g_array_new(FALSE, FALSE, sizeof(int64_t));
 		slope.decisions = g_array_new(
 			FALSE, FALSE, sizeof(struct placement_decision));
 		slope_add_engines(&slope, sizes[i]);
@@ -158,8 +163,8 @@
 		       slope.decide_us / DECISIONS,
 		       slope.progress_us / DECISIONS,
 		       placement_waiting(slope.placement));
-		g_array_unref(slope.held);
-		g_array_unref(slope.started);
+		g_array_unref(slope.tickets);
+		g_array_unref(slope.started_at_us);
 		g_array_unref(slope.decisions);
 		placement_destroy(slope.placement);
 	}
--- a/bench/slope.h
+++ b/bench/slope.h
@@ -6,8 +6,9 @@
 G_BEGIN_DECLS
 
 /*
- * Processor time per decision against the number of engines in one placement,
- * with the progress reports that belong to a decision; no engine models.
+ * Time per placement decision as a function of the number of engines in one
+ * placement, with the progress reports that arrive per decision. Engines are
+ * not simulated.
  */
 void slope_print(void);
 
--- a/bench/standing_bench.c
+++ b/bench/standing_bench.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 
 /*
- * What one standing costs the node that writes it and the one that reads it,
- * by the endpoints that it names.
+ * Prints the size of one standing and the time to write and to read it, by the
+ * number of endpoints that it names.
  */
 enum { ROUNDS = 2000, RUNS = 20, REGISTERED = 52 };
 
@@ -37,26 +37,26 @@
 	return message;
 }
 
-/* The endpoints of a service of that size, all known to the reader. */
+/* Builds a registry with that many endpoints of one service. */
 static struct registry *build_registry(int endpoints)
 {
 	struct registry *registry = registry_create();
 
 	for (int i = 0; i < endpoints; i++) {
-		struct registration *said = g_new0(struct registration, 1);
-
-		said->id = build_id(i);
-		said->service = g_strdup("engines");
-		said->address = g_strdup("10.2.0.1:9000");
-		said->failure_domain = g_strdup("a");
-		said->revision = 1;
-		registry_take(registry, said, false, 0);
-		registration_destroy(said);
+		struct registration *entry = g_new0(struct registration, 1);
+
+		entry->id = build_id(i);
+		entry->service = g_strdup("engines");
+		entry->address = g_strdup("10.2.0.1:9000");
+		entry->failure_domain = g_strdup("a");
+		entry->revision = 1;
+		registry_take(registry, entry, false, 0);
+		registration_destroy(entry);
 	}
 	return registry;
 }
 
-static double us_each(int64_t started_us)
+static double us_per_round(int64_t started_us)
 {
 	return (double)(g_get_monotonic_time() - started_us) / ROUNDS;
 }
@@ -67,7 +67,7 @@
 
 	for (int i = 0; i < ROUNDS; i++)
 		g_bytes_unref(peer_codec_encode(message));
-	return us_each(started_us);
+	return us_per_round(started_us);
 }
 
 static double time_reading(GBytes *record, struct registry *registry)
@@ -76,16 +76,18 @@
 	struct error error;
 
 	for (int i = 0; i < ROUNDS; i++) {
-		struct peer_message *said = peer_codec_decode(record, &error);
+		struct peer_message *message =
+			peer_codec_decode(record, &error);
 
-		registry_take_held(registry, said->from, said->incarnation,
-				   said->standing.held, i);
-		peer_message_destroy(said);
+		registry_take_held(registry, message->from,
+				   message->incarnation, message->standing.held,
+				   i);
+		peer_message_destroy(message);
 	}
-	return us_each(started_us);
+	return us_per_round(started_us);
 }
 
-/* One line: the best of some runs of each. */
+/* Prints one line with the shortest times of all runs. */
 static void measure(int endpoints)
 {
 	struct peer_message *message = build_standing(endpoints);
--- a/bench/stream_bench.c
+++ b/bench/stream_bench.c
@@ -9,10 +9,10 @@
 #include <string.h>
 
 /*
- * Streams generations from an engine and through a node at the same time, and
- * prints what callers see: time to the first event, time between events, and
- * how much later the node's event comes. The engine gives a token to each of
- * its requests in one step, so the two events of a step are a pair.
+ * Streams generations directly from an engine and through a node at the same
+ * time. Prints the time to the first event, the time between events, and the
+ * delay that the node adds. The engine gives a token to each of its requests in
+ * one step, so the two events of a step are compared as a pair.
  */
 
 #define CONNECT_TIMEOUT_MS 5000
@@ -26,7 +26,7 @@
 	int direct_streams;
 	int via_streams;
 	int tokens;
-	int rounds; /* one after the other */
+	int rounds; /* run in sequence */
 };
 
 struct bench;
@@ -36,8 +36,8 @@
 	struct http_exchange *exchange;
 	struct sse_reader *reader;
 	int64_t sent_us;
-	GArray *arrivals_us; /* int64_t: each event with a token */
-	bool whole;
+	GArray *arrivals_us; /* int64_t, of each event with a token */
+	bool complete;
 };
 
 struct bench {
@@ -54,7 +54,7 @@
 {
 	struct bench *bench = stream->bench;
 
-	if (!stream->whole)
+	if (!stream->complete)
 		bench->broken++;
 	if (--bench->open == 0)
 		g_main_loop_quit(bench->loop);
@@ -66,7 +66,7 @@
 	int64_t now_us = g_get_monotonic_time();
 
 	if (g_str_equal(event->data, "[DONE]"))
-		stream->whole = true;
+		stream->complete = true;
 	else if (*event->id)
 		g_array_append_val(stream->arrivals_us, now_us);
 	return true;
@@ -117,8 +117,8 @@
 	return message;
 }
 
-static void bench_add(struct bench *bench, GPtrArray *group,
-		      const char *address)
+static void bench_start_stream(struct bench *bench, GPtrArray *group,
+			       const char *address)
 {
 	struct stream *stream = g_new0(struct stream, 1);
 	SoupMessage *message = stream_message(bench->options, address);
@@ -211,8 +211,8 @@
 	g_array_unref(gaps_us);
 }
 
-/* The event of the other stream that came nearest in time, by bisection. */
-static int64_t nearest(const GArray *sorted, int64_t at_us)
+/* Returns the arrival in a sorted, non-empty array nearest to at_us. */
+static int64_t nearest_arrival_us(const GArray *sorted, int64_t at_us)
 {
 	guint low = 0;
 	guint high = sorted->len - 1;
@@ -231,21 +231,23 @@
 	return array_at(sorted, low);
 }
 
-static void print_added(const struct stream *direct, const struct stream *via)
+static void print_added_delay(const struct stream *direct,
+			      const struct stream *via)
 {
-	GArray *added_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
+	GArray *added_delays_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
 
 	if (direct->arrivals_us->len) {
 		for (guint k = 1; k < via->arrivals_us->len; k++) {
 			int64_t at_us = array_at(via->arrivals_us, k);
-			int64_t late_us =
-				at_us - nearest(direct->arrivals_us, at_us);
+			int64_t delay_us =
+				at_us -
+				nearest_arrival_us(direct->arrivals_us, at_us);
 
-			g_array_append_val(added_us, late_us);
+			g_array_append_val(added_delays_us, delay_us);
 		}
 	}
-	print_times("added", added_us);
-	g_array_unref(added_us);
+	print_times("added", added_delays_us);
+	g_array_unref(added_delays_us);
 }
 
 static void bench_print(const struct bench *bench)
@@ -254,8 +256,8 @@
 	group_print("direct", bench->direct);
 	group_print("via", bench->via);
 	if (bench->direct->len == 1 && bench->via->len == 1)
-		print_added(g_ptr_array_index(bench->direct, 0),
-			    g_ptr_array_index(bench->via, 0));
+		print_added_delay(g_ptr_array_index(bench->direct, 0),
+				  g_ptr_array_index(bench->via, 0));
 }
 
 static void bench_run_round(struct bench *bench)
@@ -263,9 +265,9 @@
 	const struct options *options = bench->options;
 
 	for (int i = 0; i < options->direct_streams; i++)
-		bench_add(bench, bench->direct, options->direct);
+		bench_start_stream(bench, bench->direct, options->direct);
 	for (int i = 0; i < options->via_streams; i++)
-		bench_add(bench, bench->via, options->via);
+		bench_start_stream(bench, bench->via, options->via);
 	if (bench->open > 0)
 		g_main_loop_run(bench->loop);
 }
@@ -294,12 +296,12 @@
 {
 	struct options options = {.tokens = 100, .rounds = 1};
 	struct poptOption table[] = {
-		{"direct", 0, POPT_ARG_STRING, &options.direct, 0, "the engine",
-		 "IP:PORT"},
+		{"direct", 0, POPT_ARG_STRING, &options.direct, 0,
+		 "address of the engine", "IP:PORT"},
 		{"direct-streams", 0, POPT_ARG_INT, &options.direct_streams, 0,
 		 "streams from the engine", "N"},
-		{"via", 0, POPT_ARG_STRING, &options.via, 0, "the node",
-		 "IP:PORT"},
+		{"via", 0, POPT_ARG_STRING, &options.via, 0,
+		 "address of the node", "IP:PORT"},
 		{"via-streams", 0, POPT_ARG_INT, &options.via_streams, 0,
 		 "streams through the node", "N"},
 		{"key", 0, POPT_ARG_STRING, &options.key, 0,
@@ -307,9 +309,9 @@
 		{"model", 0, POPT_ARG_STRING, &options.model, 0, "the service",
 		 "NAME"},
 		{"tokens", 0, POPT_ARG_INT, &options.tokens, 0,
-		 "of each stream", "N"},
+		 "tokens of each stream", "N"},
 		{"rounds", 0, POPT_ARG_INT, &options.rounds, 0,
-		 "the same so many times, one after the other", "N"},
+		 "repetitions, one after the other", "N"},
 		POPT_AUTOHELP POPT_TABLEEND};
 	poptContext context =
 		poptGetContext("stream_bench", argc, argv, table, 0);
--- a/bench/telling.c
+++ b/bench/telling.c
@@ -5,73 +5,77 @@
 
 #include <string.h>
 
-#define STEP_US (25 * 1000) /* as the gateway's own tick */
+#define STEP_US (25 * 1000) /* tick of the gateway */
 
-/* Shares of a core that nodes have in turn, as on the users' larger sites. */
-static const double shares[] = {0.12, 0.25, 0.5};
+/* Cores per node, assigned in turn, as on the users' larger sites. */
+static const double cpu_shares[] = {0.12, 0.25, 0.5};
 
 /*
- * Processor time of each kind of work, in us. A request is a call or a
- * generation of some hundred events, mixed as the users' are: 0.0164 cores at
- * 6.6 requests/s of a node. Records of 8 endpoints as they were first measured;
- * they have become cheaper, but a bound has to hold where they are dear. A
- * document of 50 routes is checked and turned into a table.
+ * Processor time of each operation, in us. A request is a plain call or a
+ * generation of some hundred events, in the users' mix: 0.0164 cores at 6.6
+ * requests/s of a node. Records name 8 endpoints and have the cost of the first
+ * implementation; they are cheaper now, but the bound must also hold at that
+ * cost. A configuration document has 50 routes, which are checked and turned
+ * into a table.
  */
-#define REQUEST_US 2000
-#define WRITE_US 35
-#define READ_US 37
-#define DOCUMENT_US 3000
+#define REQUEST_CPU_US 2000
+#define WRITE_CPU_US 35
+#define READ_CPU_US 37
+#define DOCUMENT_CPU_US 3000
 
 #define RECORD_BYTES 384
 #define DOCUMENT_BYTES 20000
 
-/* Standings that a request brings about: placed, prompt read, ended. */
-#define CHANGES_A_REQUEST 3
+/* Changes of a standing per request: placed, prompt read, ended. */
+#define CHANGES_PER_REQUEST 3
 
-/* What is read later than this was dropped before: queues are bounded. */
+/* Queues are bounded: a record that arrives at a full queue is dropped. */
 #define MAX_QUEUE_RECORDS 4000
 
-/* The aim of the shortest kind of request, most of it left for the endpoint. */
-#define AIM_US (100 * 1000)
+/*
+ * Latency target of the shortest kind of request; most of it remains for the
+ * endpoint.
+ */
+#define LATENCY_TARGET_US (100 * 1000)
 
-/* A node's own watch of the store tells it of a change after so long. */
-#define WATCH_US (30 * 1000)
+/* Time from a change in the store until the node's own watch delivers it. */
+#define WATCH_DELAY_US (30 * 1000)
 
-/* From one node to another. */
-#define LINK_US (1 * 1000)
+/* Delay between two nodes; not used, records arrive in the same step. */
+#define LINK_DELAY_US (1 * 1000)
 
-struct telling_node {
-	double share;
-	double backlog_us; /* processor time of what waits */
-	int64_t queued;	   /* records among it */
+struct announce_node {
+	double cpu_share;
+	double backlog_us; /* processor time of the queued work */
+	int64_t queued;	   /* records in the backlog */
 	struct standing_pace pace;
 	int64_t version;
-	int64_t version_due_us; /* its own watch; 0: nothing new */
-	int64_t heard_version;	/* the newest that another has */
-	size_t heard_from;
+	int64_t version_due_us;	   /* update by its own watch; 0: none */
+	int64_t announced_version; /* newest version of another node */
+	size_t announced_by;
 	struct table_fetch fetch;
 	struct table_offer offer;
 	bool changed;
-	int64_t told_us; /* the last round, without the bound */
+	int64_t announced_us; /* last announcement, without the bound */
 };
 
-struct telling {
-	const struct telling_options *options;
-	struct telling_result *result;
+struct sim {
+	const struct announce_sim_options *options;
+	struct announce_sim_result *result;
 	GRand *random;
-	struct telling_node *nodes;
+	struct announce_node *nodes;
 	int64_t now_us;
 	int64_t version;
 	int64_t version_us;
-	double telling_us;
+	double announce_cpu_us;
 	int64_t bytes;
 	int64_t records;
 };
 
-/* 88 nodes that are pushed to three times their load for ten seconds. */
-void telling_options_default(struct telling_options *options)
+/* Sets the defaults: 88 nodes, three times the rate for ten seconds. */
+void announce_sim_options_default(struct announce_sim_options *options)
 {
-	*options = (struct telling_options){
+	*options = (struct announce_sim_options){
 		.node_count = 88,
 		.requests_per_s = 2.5,
 		.overload = 3,
@@ -83,108 +87,110 @@
 	};
 }
 
-static void work(struct telling *telling, struct telling_node *node, double us)
+static void charge_work(struct sim *sim, struct announce_node *node, double us)
 {
 	node->backlog_us += us;
-	telling->telling_us += us;
+	sim->announce_cpu_us += us;
 }
 
-static bool is_overload(const struct telling *telling)
+static bool is_overload(const struct sim *sim)
 {
-	return telling->now_us >= telling->options->overload_from_us &&
-	       telling->now_us < telling->options->overload_until_us;
+	return sim->now_us >= sim->options->overload_from_us &&
+	       sim->now_us < sim->options->overload_until_us;
 }
 
-/* A request waits for the work that came before it. */
-static void arrive(struct telling *telling, struct telling_node *node)
+/* Counts a request, which waits for all work queued before it. */
+static void add_request(struct sim *sim, struct announce_node *node)
 {
-	int64_t second = telling->now_us / G_USEC_PER_SEC;
-	double wait_us = (node->backlog_us + REQUEST_US) / node->share;
+	int64_t second = sim->now_us / G_USEC_PER_SEC;
+	double wait_us = (node->backlog_us + REQUEST_CPU_US) / node->cpu_share;
 
-	telling->result->requests[second]++;
-	if (wait_us <= AIM_US)
-		telling->result->in_aim[second]++;
-	node->backlog_us += REQUEST_US;
+	sim->result->requests[second]++;
+	if (wait_us <= LATENCY_TARGET_US)
+		sim->result->in_target[second]++;
+	node->backlog_us += REQUEST_CPU_US;
 }
 
-static void step_requests(struct telling *telling, struct telling_node *node)
+static void step_requests(struct sim *sim, struct announce_node *node)
 {
-	double rate = telling->options->requests_per_s *
-		      (is_overload(telling) ? telling->options->overload : 1);
-	double a_step = rate * STEP_US / G_USEC_PER_SEC;
+	double rate = sim->options->requests_per_s *
+		      (is_overload(sim) ? sim->options->overload : 1);
+	double per_step = rate * STEP_US / G_USEC_PER_SEC;
 
-	if (g_rand_double(telling->random) < a_step)
-		arrive(telling, node);
-	if (g_rand_double(telling->random) < a_step * CHANGES_A_REQUEST)
+	if (g_rand_double(sim->random) < per_step)
+		add_request(sim, node);
+	if (g_rand_double(sim->random) < per_step * CHANGES_PER_REQUEST)
 		node->changed = true;
 }
 
-static bool round_is_due(const struct telling *telling,
-			 struct telling_node *node)
+static bool round_is_due(const struct sim *sim, struct announce_node *node)
 {
-	size_t others = telling->options->node_count - 1;
-	int64_t since_us = telling->now_us - node->told_us;
+	size_t others = sim->options->node_count - 1;
+	int64_t since_us = sim->now_us - node->announced_us;
 
-	if (!telling->options->unbounded_standings)
+	if (!sim->options->unbounded_standings)
 		return standing_pace_is_due(&node->pace, others, node->changed,
-					    telling->now_us);
+					    sim->now_us);
 	if (since_us < (node->changed ? 40 * 1000 : 250 * 1000))
 		return false;
-	node->told_us = telling->now_us;
+	node->announced_us = sim->now_us;
 	return true;
 }
 
-static void send_document(struct telling *telling, struct telling_node *from,
-			  struct telling_node *to)
+static void send_document(struct sim *sim, struct announce_node *from,
+			  struct announce_node *to)
 {
-	work(telling, from, WRITE_US);
-	work(telling, to, DOCUMENT_US);
-	telling->bytes += DOCUMENT_BYTES;
-	telling->records++;
+	charge_work(sim, from, WRITE_CPU_US);
+	charge_work(sim, to, DOCUMENT_CPU_US);
+	sim->bytes += DOCUMENT_BYTES;
+	sim->records++;
 	to->version = MAX(to->version, from->version);
 }
 
-static void hear(struct telling *telling, struct telling_node *node,
-		 size_t teller)
+static void receive_record(struct sim *sim, struct announce_node *node,
+			   size_t sender)
 {
-	struct telling_node *from = &telling->nodes[teller];
+	struct announce_node *from = &sim->nodes[sender];
 
 	if (node->queued >= MAX_QUEUE_RECORDS)
 		return;
 	node->queued++;
-	work(telling, node, READ_US);
-	if (telling->options->all_help && from->version < node->version)
-		send_document(telling, node, from);
-	if (from->version > node->heard_version) {
-		node->heard_version = from->version;
-		node->heard_from = teller;
+	charge_work(sim, node, READ_CPU_US);
+	if (sim->options->all_send_config && from->version < node->version)
+		send_document(sim, node, from);
+	if (from->version > node->announced_version) {
+		node->announced_version = from->version;
+		node->announced_by = sender;
 	}
 }
 
-static void ask(struct telling *telling, struct telling_node *node)
+static void request_document(struct sim *sim, struct announce_node *node)
 {
-	struct telling_node *other = &telling->nodes[node->heard_from];
+	struct announce_node *other = &sim->nodes[node->announced_by];
 
-	work(telling, node, WRITE_US);
-	work(telling, other, READ_US);
-	telling->records++;
-	if (table_offer_take(&other->offer, DOCUMENT_BYTES, telling->now_us))
-		send_document(telling, other, node);
+	charge_work(sim, node, WRITE_CPU_US);
+	charge_work(sim, other, READ_CPU_US);
+	sim->records++;
+	if (table_offer_take(&other->offer, DOCUMENT_BYTES, sim->now_us))
+		send_document(sim, other, node);
 }
 
-/* A watch that is late is read anew, then another node is asked. */
-static void step_fetch(struct telling *telling, struct telling_node *node)
+/*
+ * Fetches a configuration that is overdue: the node reads the store again, and
+ * then requests the document from another node.
+ */
+static void step_fetch(struct sim *sim, struct announce_node *node)
 {
 	struct table_fetch_input input = {
-		.now_us = telling->now_us,
+		.now_us = sim->now_us,
 		.reaches_store = true,
 	};
 
-	if (node->version >= node->heard_version) {
+	if (node->version >= node->announced_version) {
 		node->fetch = (struct table_fetch){0};
 		return;
 	}
-	if (telling->options->all_help)
+	if (sim->options->all_send_config)
 		return;
 	switch (table_fetch_decide(&node->fetch, &input)) {
 	case TABLE_FETCH_WAIT:
@@ -193,53 +199,53 @@
 		node->version_due_us = 0;
 		break;
 	case TABLE_FETCH_ASK_NODE:
-		ask(telling, node);
+		request_document(sim, node);
 		break;
 	}
 }
 
-static void step_telling(struct telling *telling, size_t i)
+static void step_announcing(struct sim *sim, size_t i)
 {
-	struct telling_node *node = &telling->nodes[i];
+	struct announce_node *node = &sim->nodes[i];
 
-	if (!round_is_due(telling, node))
+	if (!round_is_due(sim, node))
 		return;
 	node->changed = false;
-	for (size_t k = 0; k < telling->options->node_count; k++) {
+	for (size_t k = 0; k < sim->options->node_count; k++) {
 		if (k == i)
 			continue;
-		work(telling, node, WRITE_US);
-		telling->bytes += RECORD_BYTES;
-		telling->records++;
-		hear(telling, &telling->nodes[k], i);
+		charge_work(sim, node, WRITE_CPU_US);
+		sim->bytes += RECORD_BYTES;
+		sim->records++;
+		receive_record(sim, &sim->nodes[k], i);
 	}
 }
 
-/* A watch is read when the processor comes to it. */
-static void step_watch(struct telling *telling, struct telling_node *node)
+/* Delivers a watch update after its delay and the work queued before it. */
+static void step_watch(struct sim *sim, struct announce_node *node)
 {
 	int64_t stale_us;
 
-	if (node->version == telling->version)
+	if (node->version == sim->version)
 		return;
-	stale_us = telling->now_us - telling->version_us;
-	telling->result->longest_stale =
-		MAX(telling->result->longest_stale, stale_us);
+	stale_us = sim->now_us - sim->version_us;
+	sim->result->longest_stale_us =
+		MAX(sim->result->longest_stale_us, stale_us);
 	if (!node->version_due_us)
 		node->version_due_us =
-			telling->now_us + WATCH_US +
-			(int64_t)(node->backlog_us / node->share);
-	if (telling->now_us < node->version_due_us)
+			sim->now_us + WATCH_DELAY_US +
+			(int64_t)(node->backlog_us / node->cpu_share);
+	if (sim->now_us < node->version_due_us)
 		return;
 	node->version_due_us = 0;
-	node->version = telling->version;
+	node->version = sim->version;
 	node->changed = true;
-	work(telling, node, DOCUMENT_US);
+	charge_work(sim, node, DOCUMENT_CPU_US);
 }
 
-static void step_processor(struct telling_node *node)
+static void step_processor(struct announce_node *node)
 {
-	double done_us = MIN(node->backlog_us, node->share * STEP_US);
+	double done_us = MIN(node->backlog_us, node->cpu_share * STEP_US);
 
 	if (node->backlog_us > 0)
 		node->queued -= (int64_t)((double)node->queued * done_us /
@@ -247,80 +253,83 @@
 	node->backlog_us -= done_us;
 }
 
-static void step_change(struct telling *telling)
+static void step_config_change(struct sim *sim)
 {
-	int64_t change_us = telling->options->change_us;
+	int64_t change_us = sim->options->change_us;
 
-	if (!change_us || telling->now_us - telling->version_us < change_us ||
-	    !is_overload(telling))
+	if (!change_us || sim->now_us - sim->version_us < change_us ||
+	    !is_overload(sim))
 		return;
-	telling->version++;
-	telling->version_us = telling->now_us;
+	sim->version++;
+	sim->version_us = sim->now_us;
 }
 
-static void telling_init(struct telling *telling)
+static void announce_sim_init(struct sim *sim)
 {
-	size_t count = telling->options->node_count;
+	size_t count = sim->options->node_count;
 
-	telling->random = g_rand_new_with_seed((guint32)telling->options->seed);
-	telling->nodes = g_new0(struct telling_node, count);
+	sim->random = g_rand_new_with_seed((guint32)sim->options->seed);
+	sim->nodes = g_new0(struct announce_node, count);
 	for (size_t i = 0; i < count; i++) {
-		struct telling_node *node = &telling->nodes[i];
+		struct announce_node *node = &sim->nodes[i];
 
-		node->share = shares[i % G_N_ELEMENTS(shares)];
-		node->told_us = g_rand_int_range(telling->random, 0, 250000);
-		standing_pace_init(&node->pace, node->told_us);
+		node->cpu_share = cpu_shares[i % G_N_ELEMENTS(cpu_shares)];
+		node->announced_us = g_rand_int_range(sim->random, 0, 250000);
+		standing_pace_init(&node->pace, node->announced_us);
 	}
 }
 
-static void telling_clear(struct telling *telling)
+static void announce_sim_clear(struct sim *sim)
 {
-	g_free(telling->nodes);
-	g_rand_free(telling->random);
+	g_free(sim->nodes);
+	g_rand_free(sim->random);
 }
 
-static void telling_figures(struct telling *telling)
+static void announce_sim_average(struct sim *sim)
 {
-	double node_s = (double)telling->options->node_count *
-			(double)telling->options->run_us / G_USEC_PER_SEC;
+	double node_s = (double)sim->options->node_count *
+			(double)sim->options->run_us / G_USEC_PER_SEC;
 
-	telling->result->cores = telling->telling_us / G_USEC_PER_SEC / node_s;
-	telling->result->bytes_per_s = (double)telling->bytes / node_s;
-	telling->result->records_per_s = (double)telling->records / node_s;
+	sim->result->cores = sim->announce_cpu_us / G_USEC_PER_SEC / node_s;
+	sim->result->bytes_per_s = (double)sim->bytes / node_s;
+	sim->result->records_per_s = (double)sim->records / node_s;
 }
 
-/* Plays the run; the same seed gives the same result. */
-void telling_run(const struct telling_options *options,
-		 struct telling_result *result)
+/* Runs the simulation and fills in result; a seed gives the same result. */
+void announce_sim_run(const struct announce_sim_options *options,
+		      struct announce_sim_result *result)
 {
-	struct telling telling = {.options = options, .result = result};
+	struct sim sim = {.options = options, .result = result};
 
 	memset(result, 0, sizeof(*result));
-	telling_init(&telling);
-	for (; telling.now_us < options->run_us; telling.now_us += STEP_US) {
-		step_change(&telling);
+	announce_sim_init(&sim);
+	for (; sim.now_us < options->run_us; sim.now_us += STEP_US) {
+		step_config_change(&sim);
 		for (size_t i = 0; i < options->node_count; i++) {
-			step_watch(&telling, &telling.nodes[i]);
-			step_fetch(&telling, &telling.nodes[i]);
-			step_requests(&telling, &telling.nodes[i]);
-			step_telling(&telling, i);
+			step_watch(&sim, &sim.nodes[i]);
+			step_fetch(&sim, &sim.nodes[i]);
+			step_requests(&sim, &sim.nodes[i]);
+			step_announcing(&sim, i);
 		}
 		for (size_t i = 0; i < options->node_count; i++)
-			step_processor(&telling.nodes[i]);
+			step_processor(&sim.nodes[i]);
 	}
-	telling_figures(&telling);
-	telling_clear(&telling);
+	announce_sim_average(&sim);
+	announce_sim_clear(&sim);
 }
 
-/* The share of requests within their aim, of those of some seconds. */
-double telling_in_aim(const struct telling_result *result, int64_t from_s,
-		      int64_t until_s)
+/*
+ * Returns the share of requests within their latency target, of those that
+ * arrived from from_s until before until_s; 1 if there were none.
+ */
+double announce_sim_share_in_target(const struct announce_sim_result *result,
+				    int64_t from_s, int64_t until_s)
 {
-	int64_t requests = 0, in_aim = 0;
+	int64_t requests = 0, in_target = 0;
 
 	for (int64_t second = from_s; second < until_s; second++) {
 		requests += result->requests[second];
-		in_aim += result->in_aim[second];
+		in_target += result->in_target[second];
 	}
-	return requests ? (double)in_aim / (double)requests : 1;
+	return requests ? (double)in_target / (double)requests : 1;
 }
--- a/bench/telling_bench.c
+++ b/bench/telling_bench.c
@@ -3,23 +3,28 @@
 #include <inttypes.h>
 #include <stdio.h>
 
-static void print_row(const char *name, const struct telling_options *options)
+static void print_row(const char *name,
+		      const struct announce_sim_options *options)
 {
-	struct telling_result result;
+	struct announce_sim_result result;
 	int64_t from_s = options->overload_from_us / G_USEC_PER_SEC;
 	int64_t until_s = options->overload_until_us / G_USEC_PER_SEC;
 
-	telling_run(options, &result);
+	announce_sim_run(options, &result);
 	printf("%-10s %5zu %8.4f %9.0f %8.0f %7.3f %7.3f %7.3f %9" PRId64 "\n",
 	       name, options->node_count, result.cores, result.bytes_per_s,
-	       result.records_per_s, telling_in_aim(&result, 2, from_s),
-	       telling_in_aim(&result, from_s, until_s),
-	       telling_in_aim(&result, until_s + 2,
-			      options->run_us / G_USEC_PER_SEC),
-	       result.longest_stale / 1000);
+	       result.records_per_s,
+	       announce_sim_share_in_target(&result, 2, from_s),
+	       announce_sim_share_in_target(&result, from_s, until_s),
+	       announce_sim_share_in_target(&result, until_s + 2,
+					    options->run_us / G_USEC_PER_SEC),
+	       result.longest_stale_us / 1000);
 }
 
-/* What telling one another costs, and what an overload leaves, by size. */
+/*
+ * Prints, by number of nodes, the cost of announcements and the share of
+ * requests within their latency target before, during and after an overload.
+ */
 int main(void)
 {
 	const size_t sizes[] = {7, 88, 300, 480};
@@ -28,14 +33,14 @@
 	       "cores", "bytes/s", "recs/s", "before", "during", "after",
 	       "stale_ms");
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-		struct telling_options options;
+		struct announce_sim_options options;
 
-		telling_options_default(&options);
+		announce_sim_options_default(&options);
 		options.node_count = sizes[i];
 		print_row("bounded", &options);
 		options.unbounded_standings = true;
 		print_row("standings", &options);
-		options.all_help = true;
+		options.all_send_config = true;
 		print_row("both", &options);
 		options.unbounded_standings = false;
 		print_row("all help", &options);
--- a/bench/workload.c
+++ b/bench/workload.c
@@ -2,12 +2,12 @@
 
 #include <math.h>
 
-/* Between tokens of an engine that is full and reads no prompt. */
+/* Between tokens of a full engine that reads no prompt. */
 #define NOMINAL_INTERVAL_US 14400.0
 #define NOMINAL_PREFILL_US 80.0
-#define LONGEST_TOKENS 8192
+#define MAX_OUTPUT_TOKENS 8192
 #define SAMPLES 20000
-#define CHECKS_SHARE 0.7 /* of what goes to engines */
+#define CHECKS_SHARE 0.7 /* of the requests to engines */
 #define PLAIN_MEAN_US 120000.0
 #define BURST_EVERY_US (100 * G_USEC_PER_SEC)
 #define BURST_FOR_US (20 * G_USEC_PER_SEC)
@@ -29,17 +29,17 @@
 	[WORKLOAD_PLAIN] = {1, 0, PLAIN_MEAN_US, 0.5, 3 * G_USEC_PER_SEC, 5},
 };
 
-/* Lengths of an organisation's reports against those of all. */
+/* Report lengths of an organisation relative to the common median. */
 static const double verbosity[WORKLOAD_ORGANISATIONS] = {
 	1.0, 0.7, 1.4, 0.6, 0.8, 0.9, 1.1, 1.2, 1.5, 1.0,
 };
 
-static const char *const names[WORKLOAD_ORGANISATIONS] = {
+static const char *const organisation_names[WORKLOAD_ORGANISATIONS] = {
 	"large-a", "large-b", "large-c", "small-d", "small-e",
 	"small-f", "small-g", "small-h", "small-i", "small-j",
 };
 
-/* Ten engines at full load for five minutes, without shifts or floods. */
+/* Sets the defaults: ten engines, full load, 300 s, no shift or flood. */
 void workload_options_default(struct workload_options *options)
 {
 	*options = (struct workload_options){
@@ -56,16 +56,19 @@
 	};
 }
 
-/* Large organisations have four times a small one's weight. */
+/*
+ * Returns the weight of an organisation; a large one has four times the weight
+ * of a small one.
+ */
 int32_t workload_weight(int32_t organisation)
 {
 	return organisation < WORKLOAD_LARGE ? 4 : 1;
 }
 
-/* Name of an organisation by its number. */
+/* Returns the name of an organisation by its number. */
 const char *workload_organisation(int32_t organisation)
 {
-	return names[organisation];
+	return organisation_names[organisation];
 }
 
 static double draw_normal(GRand *rand)
@@ -112,7 +115,7 @@
 	item->output_tokens = draw_size(rand, median, shape->output_sigma);
 	if (item->kind == WORKLOAD_PLAIN)
 		return;
-	item->output_tokens = CLAMP(item->output_tokens, 1, LONGEST_TOKENS);
+	item->output_tokens = CLAMP(item->output_tokens, 1, MAX_OUTPUT_TOKENS);
 	template = 1 + item->organisation *TEMPLATES * 2 +
 		   (int32_t)item->kind *TEMPLATES +
 		   g_rand_int_range(rand, 0, TEMPLATES);
@@ -126,7 +129,7 @@
 						  : WORKLOAD_REPORT;
 }
 
-/* Token-seconds of memory that a request to engines takes on average. */
+/* Returns the mean memory use of a request to engines, in token-seconds. */
 static double workload_mean_memory(double shift)
 {
 	GRand *rand = g_rand_new_with_seed(4711);
@@ -134,16 +137,17 @@
 
 	for (int32_t i = 0; i < SAMPLES; i++) {
 		struct workload_item item = {0};
-		double made;
+		double output;
 		double prompt;
 
 		item.organisation = draw_organisation(rand);
 		item.kind = draw_kind(rand);
 		item_draw(&item, rand, shift);
-		made = (double)item.output_tokens;
+		output = (double)item.output_tokens;
 		prompt = (double)item.prompt_tokens;
 		sum += prompt * prompt * NOMINAL_PREFILL_US +
-		       (prompt * made + made * made / 2) * NOMINAL_INTERVAL_US;
+		       (prompt * output + output * output / 2) *
+			       NOMINAL_INTERVAL_US;
 	}
 	g_rand_free(rand);
 	return sum / SAMPLES / G_USEC_PER_SEC;
@@ -174,23 +178,24 @@
 	g_array_append_val(items, item);
 }
 
-/* Poisson arrivals, thinned from the highest rate. */
+/* Adds Poisson arrivals, thinned from the highest rate. */
 static void workload_add_stream(GArray *items,
 				const struct workload_options *options,
 				double per_s, bool plain, bool flood)
 {
 	GRand *rand = g_rand_new_with_seed(
 		(guint32)(options->seed * 4 + plain * 2 + flood));
-	double most = options->burst * MAX(options->shift_rate, 1);
+	double max_rate = options->burst * MAX(options->shift_rate, 1);
 	int64_t at_us = flood ? options->flood_at_us : 0;
 
 	for (;;) {
-		double gap = -log(1 - g_rand_double(rand)) / (per_s * most);
+		double gap = -log(1 - g_rand_double(rand)) / (per_s * max_rate);
 
 		at_us += (int64_t)(gap * G_USEC_PER_SEC) + 1;
 		if (at_us >= options->duration_us)
 			break;
-		if (g_rand_double(rand) * most < workload_rate(options, at_us))
+		if (g_rand_double(rand) * max_rate <
+		    workload_rate(options, at_us))
 			workload_add(items, options, rand, at_us, plain, flood);
 	}
 	g_rand_free(rand);
@@ -205,8 +210,9 @@
 }
 
 /*
- * All requests of a run, in order of arrival. The flood is a stream of its
- * own, so that all else stays the same with and without it.
+ * Returns all requests of a run in order of arrival, an array of struct
+ * workload_item that the caller owns. The flood has its own random stream, so
+ * that the other requests are the same with and without it.
  */
 GArray *workload_generate(const struct workload_options *options)
 {
@@ -231,7 +237,7 @@
 	return items;
 }
 
-/* Rate of requests that keeps the memory load when lengths shift so far. */
+/* Returns the rate factor that keeps the memory load at that length shift. */
 double workload_shift_rate(double shift)
 {
 	return workload_mean_memory(1) / workload_mean_memory(shift);
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -8,7 +8,7 @@
 G_BEGIN_DECLS
 
 /*
- * Requests shaped as those of report and brief writers: long drafts with
+ * Generates requests like those of report and brief writers: long reports with
  * heavy-tailed lengths, short checks, and plain calls, from ten organisations
  * of which three are large. The same seed gives the same requests.
  */
@@ -23,17 +23,17 @@
 };
 
 struct workload_options {
-	double load; /* of what the engines' memory holds */
+	double load; /* share of the engines' memory */
 	int32_t engines;
 	int64_t capacity_tokens;
-	int32_t plain_slots; /* over all plain endpoints */
+	int32_t plain_slots; /* total of all plain endpoints */
 	int64_t duration_us;
-	double burst;	     /* rate while a deadline is near; 1: no bursts */
+	double burst;	     /* factor of the rate near a deadline; 1: none */
 	int64_t shift_at_us; /* 0: never */
-	double shift;	     /* lengths of reports from then on */
-	double shift_rate;   /* requests from then on */
+	double shift;	     /* factor of report lengths from then on */
+	double shift_rate;   /* factor of the rate from then on */
 	int64_t flood_at_us; /* 0: never */
-	double flood;	     /* requests of the first organisation then */
+	double flood;	     /* factor of the first organisation's rate */
 	uint64_t seed;
 };
 
@@ -43,8 +43,8 @@
 	int32_t organisation;
 	int32_t priority;
 	int64_t prompt_tokens;
-	int64_t output_tokens; /* plain calls: how long it takes, in us */
-	int64_t deadline_us;   /* from its arrival */
+	int64_t output_tokens; /* plain calls: duration in us */
+	int64_t deadline_us;   /* after arrival */
 	uint64_t prefix_hash;
 	int64_t prefix_tokens;
 };
--- a/tests/telling_test.cc
+++ b/tests/telling_test.cc
@@ -2,43 +2,47 @@
 
 #include <gtest/gtest.h>
 
-static telling_result play(size_t nodes, bool unbounded)
+static announce_sim_result run_simulation(size_t nodes, bool unbounded)
 {
-	telling_options options;
-	telling_result result;
+	announce_sim_options options;
+	announce_sim_result result;
 
-	telling_options_default(&options);
+	announce_sim_options_default(&options);
 	options.node_count = nodes;
 	options.unbounded_standings = unbounded;
-	options.all_help = unbounded;
-	telling_run(&options, &result);
+	options.all_send_config = unbounded;
+	announce_sim_run(&options, &result);
 	return result;
 }
 
 /*
- * Callers come three times as often for ten seconds, and the configuration
- * changes twice a second. Each placement was told to every node, and every node
- * answered one that was behind: those with the smallest share of a processor
- * passed on late, their callers found no connection, and at 300 nodes they
- * never recovered. Two seconds after the overload all is as it was before.
+ * Guards against announcements that overload small nodes. Requests triple for
+ * ten seconds and the configuration changes twice a second. Each placement was
+ * announced to every node, and every node answered a node that was behind: the
+ * nodes with the smallest share of a core forwarded late, their callers could
+ * not connect, and at 300 nodes they never recovered. Two seconds after the
+ * overload the share within the target must be as before.
  */
 TEST(Telling, LeavesNodesRoomForTheirCallers)
 {
 	for (size_t nodes : {7, 88, 300}) {
-		telling_result result = play(nodes, false);
+		announce_sim_result result = run_simulation(nodes, false);
 
-		EXPECT_LT(0.99, telling_in_aim(&result, 2, 10)) << nodes;
-		EXPECT_LT(0.99, telling_in_aim(&result, 10, 20)) << nodes;
-		EXPECT_LT(0.99, telling_in_aim(&result, 22, 40)) << nodes;
+		EXPECT_LT(0.99, announce_sim_share_in_target(&result, 2, 10))
+			<< nodes;
+		EXPECT_LT(0.99, announce_sim_share_in_target(&result, 10, 20))
+			<< nodes;
+		EXPECT_LT(0.99, announce_sim_share_in_target(&result, 22, 40))
+			<< nodes;
 	}
 }
 
-/* The same without the bounds shows what they are for. */
+/* Without the bounds the same load must miss the latency target. */
 TEST(Telling, WouldTakeItFromCallersWithoutBounds)
 {
-	telling_result some = play(88, true);
-	telling_result many = play(300, true);
+	announce_sim_result medium = run_simulation(88, true);
+	announce_sim_result large = run_simulation(300, true);
 
-	EXPECT_GT(0.8, telling_in_aim(&some, 10, 20));
-	EXPECT_GT(0.8, telling_in_aim(&many, 22, 40));
+	EXPECT_GT(0.8, announce_sim_share_in_target(&medium, 10, 20));
+	EXPECT_GT(0.8, announce_sim_share_in_target(&large, 22, 40));
 }
