--- a/bench/direct.c
+++ b/bench/direct.c
@@ -4,11 +4,11 @@
 #include <string.h>
 #include <time.h>
 
-#define PROGRESS_US (200 * 1000)
-#define CACHE_US (2 * G_USEC_PER_SEC)
-#define LATE_US (5 * G_USEC_PER_SEC)
+#define PROGRESS_INTERVAL_US (200 * 1000)
+#define CACHE_INTERVAL_US (2 * G_USEC_PER_SEC)
+#define LOAD_LAG_US (5 * G_USEC_PER_SEC)
 
-/* Time of the processor, for what a decision costs. */
+/* Monotonic clock in microseconds, for the cost of decisions. */
 double direct_clock_us(void)
 {
 	struct timespec time;
@@ -25,7 +25,7 @@
 		engine_model_options_default(&options);
 		options.seed = seed * ENGINES + (uint64_t)i + 1;
 		if (direct->scenario->fault == FAULT_LATE_LOAD)
-			options.load_lag_us = LATE_US;
+			options.load_lag_us = LOAD_LAG_US;
 		direct->engines[i] = engine_model_create(&options);
 		direct->engine_names[i] = g_strdup_printf("engine-%d", i);
 	}
@@ -37,7 +37,7 @@
 {
 	direct->placement_count = direct->policy == BENCH_SHARES ? NODES : 1;
 	for (int32_t n = 0; n < direct->placement_count; n++) {
-		direct->placements[n] = direct_placement(
+		direct->placements[n] = direct_create_placement(
 			direct, SERVICE_GENERATION, seed * NODES + (uint64_t)n);
 		placement_set_share(direct->placements[n],
 				    direct->placement_count);
@@ -51,7 +51,8 @@
 					       0);
 		}
 	}
-	direct->plain_placement = direct_placement(direct, SERVICE_PLAIN, seed);
+	direct->plain_placement =
+		direct_create_placement(direct, SERVICE_PLAIN, seed);
 	for (int32_t i = 0; i < PLAIN_ENDPOINTS; i++) {
 		struct config_endpoint endpoint = {
 			.address = direct->plain_names[i],
@@ -62,17 +63,20 @@
 	}
 }
 
-/* An eighth of the nodes' calls each time: nodes do not report in step. */
+/*
+ * Reports the calls of one of the eight nodes each time, as nodes do not report
+ * at the same time.
+ */
 static void direct_report_progress(struct direct *direct)
 {
-	double from_us = direct_clock_us();
+	double start_us = direct_clock_us();
 
-	for (guint i = 0; i < direct->live->len;) {
-		guint index = g_array_index(direct->live, guint, i);
+	for (guint i = 0; i < direct->active->len;) {
+		guint index = g_array_index(direct->active, guint, i);
 		struct direct_call *call = &direct->calls[index];
 
-		if (!call->live) {
-			g_array_remove_index_fast(direct->live, i);
+		if (!call->active) {
+			g_array_remove_index_fast(direct->active, i);
 			continue;
 		}
 		if (call->node == direct->progress_node)
@@ -81,9 +85,9 @@
 					   call->flow.tokens, direct->now_us);
 		i++;
 	}
-	direct->measure.decision_us += direct_clock_us() - from_us;
+	direct->measure.decision_us += direct_clock_us() - start_us;
 	direct->progress_node = (direct->progress_node + 1) % NODES;
-	direct->next_progress_us += PROGRESS_US / NODES;
+	direct->next_progress_us += PROGRESS_INTERVAL_US / NODES;
 }
 
 static void direct_step_waiting(struct direct *direct)
@@ -156,7 +160,7 @@
 {
 	direct->now_us = direct_next_us(direct);
 	if (direct->now_us >= direct->next_fault_us)
-		direct_fault(direct);
+		direct_step_fault(direct);
 	direct_step_engines(direct);
 	direct_step_waiting(direct);
 	direct_arrive(direct);
@@ -166,8 +170,8 @@
 		direct_poll(direct);
 	if (direct->now_us >= direct->next_cache_us) {
 		for (int32_t i = 0; i < ENGINES; i++)
-			direct_read_cache(direct, i);
-		direct->next_cache_us += CACHE_US;
+			direct_forward_cache_events(direct, i);
+		direct->next_cache_us += CACHE_INTERVAL_US;
 	}
 	direct_step_placements(direct);
 }
@@ -198,7 +202,7 @@
 		g_array_new(FALSE, FALSE, sizeof(struct engine_output));
 	direct->decisions =
 		g_array_new(FALSE, FALSE, sizeof(struct placement_decision));
-	direct->live = g_array_new(FALSE, FALSE, sizeof(guint));
+	direct->active = g_array_new(FALSE, FALSE, sizeof(guint));
 	direct->waiting = g_array_new(FALSE, FALSE, sizeof(guint));
 	direct->next_fault_us =
 		scenario->fault == FAULT_NONE ? INT64_MAX : SCENARIO_MID_US;
@@ -222,7 +226,7 @@
 	g_rand_free(direct->rand);
 	g_array_unref(direct->outputs);
 	g_array_unref(direct->decisions);
-	g_array_unref(direct->live);
+	g_array_unref(direct->active);
 	g_array_unref(direct->waiting);
 	g_array_unref(direct->items);
 	g_free(direct->calls);
@@ -240,6 +244,10 @@
 	}
 }
 
+/*
+ * Runs one scenario to its end and fills in its figures. The same seed gives
+ * the same arrivals.
+ */
 void direct_run(const struct scenario *scenario, enum bench_policy policy,
 		uint64_t seed, double figures[FIGURES])
 {
@@ -248,7 +256,7 @@
 	direct_create(direct, scenario, policy, seed);
 	while (direct->now_us < SCENARIO_END_US ||
 	       (direct->now_us < SCENARIO_END_US + SCENARIO_DRAIN_US &&
-		direct->live->len + direct->waiting->len > 0))
+		direct->active->len + direct->waiting->len > 0))
 		direct_step(direct);
 	for (guint i = 0; i < direct->items->len; i++)
 		if (direct->calls[i].flow.end == FLOW_OPEN)
--- a/bench/direct.h
+++ b/bench/direct.h
@@ -10,11 +10,11 @@
 G_BEGIN_DECLS
 
 /*
- * Runs a scenario on model engines with the placement alone in front, or one
- * placement per entry node where each has its share: what a home decides,
- * without nodes and messages between them. Progress comes late, as entry
- * nodes would report it. Faults of nodes and of the key-value service don't
- * exist here.
+ * Runs a scenario on model engines with the placement code only: one placement
+ * in the role of the home, or one per entry node for the policy of local
+ * shares. There are no nodes and no messages between them. Progress arrives
+ * with the delay of entry nodes' progress reports. Faults of nodes and of the
+ * key-value service are not simulated.
  */
 void direct_run(const struct scenario *scenario, enum bench_policy policy,
 		uint64_t seed, double figures[FIGURES]);
--- a/bench/direct_call.c
+++ b/bench/direct_call.c
@@ -3,9 +3,9 @@
 #define MAX_ATTEMPTS 3
 #define NAIVE_ATTEMPTS 10
 
-/* Who decides for a node: the home, or the node itself. */
-struct placement *direct_placement(const struct direct *direct,
-				   enum service_kind kind, uint64_t seed)
+/* Creates a placement for a home or a node; the caller owns it. */
+struct placement *direct_create_placement(const struct direct *direct,
+					  enum service_kind kind, uint64_t seed)
 {
 	struct placement_options options = {
 		.policy = bench_policy_placement(direct->policy),
@@ -18,7 +18,7 @@
 	return placement_create(&options);
 }
 
-/* Who decides on this call. */
+/* The placement that decides on this call. */
 struct placement *direct_call_placement(const struct direct *direct,
 					const struct direct_call *call)
 {
@@ -27,7 +27,7 @@
 	return direct->placements[call->node % direct->placement_count];
 }
 
-/* Names the call and the attempt at it. */
+/* The ticket of the current attempt of a call. */
 uint64_t direct_call_ticket(const struct direct *direct,
 			    const struct direct_call *call)
 {
@@ -35,13 +35,14 @@
 	       (uint64_t)call->flow.attempts;
 }
 
-/* The call of a ticket; NULL: that attempt is over. */
-struct direct_call *direct_find(const struct direct *direct, uint64_t ticket)
+/* The call that a ticket belongs to, whichever attempt it is of. */
+struct direct_call *direct_find_call(const struct direct *direct,
+				     uint64_t ticket)
 {
 	return &direct->calls[(ticket >> ATTEMPT_BITS) - 1];
 }
 
-/* Asks for an endpoint. */
+/* Starts the next attempt: requests an endpoint from the placement. */
 void direct_submit(struct direct *direct, struct direct_call *call)
 {
 	const struct workload_item *item = call->flow.item;
@@ -55,17 +56,17 @@
 		.avoid_hash = call->avoid_hash,
 		.true_tokens = item->output_tokens,
 	};
-	double from_us = direct_clock_us();
+	double start_us = direct_clock_us();
 
 	call->flow.attempts++;
 	request.ticket = direct_call_ticket(direct, call);
 	placement_submit(direct_call_placement(direct, call), &request,
 			 direct->now_us);
-	direct->measure.decision_us += direct_clock_us() - from_us;
+	direct->measure.decision_us += direct_clock_us() - start_us;
 	direct->measure.decisions++;
 }
 
-/* The call is over. */
+/* Ends a call and records its result. */
 void direct_end(struct direct *direct, struct direct_call *call,
 		enum flow_end end)
 {
@@ -73,7 +74,7 @@
 	measure_flow(&direct->measure, &call->flow);
 }
 
-static void direct_wait(struct direct *direct, struct direct_call *call)
+static void direct_add_waiting(struct direct *direct, struct direct_call *call)
 {
 	guint index = (guint)(call - direct->calls);
 
@@ -89,7 +90,7 @@
 	       retry_budget_take(direct->budget);
 }
 
-/* Tries again after a while, or gives up. */
+/* Retries a call after a delay if attempts and budget allow, or refuses it. */
 void direct_retry(struct direct *direct, struct direct_call *call)
 {
 	if (!direct_may_retry(direct, call)) {
@@ -101,20 +102,20 @@
 	if (direct->policy != BENCH_NAIVE)
 		call->retry_us += retry_budget_delay_us(
 			direct->budget, call->flow.attempts - 1, direct->rand);
-	direct_wait(direct, call);
+	direct_add_waiting(direct, call);
 }
 
-/* Gives back what the call has at its endpoint. */
+/* Releases the ticket of a call. */
 void direct_release(struct direct *direct, struct direct_call *call,
 		    enum release_outcome outcome)
 {
-	double from_us = direct_clock_us();
+	double start_us = direct_clock_us();
 
-	call->live = false;
+	call->active = false;
 	placement_release(direct_call_placement(direct, call),
 			  direct_call_ticket(direct, call), outcome,
 			  call->flow.tokens, direct->now_us);
-	direct->measure.decision_us += direct_clock_us() - from_us;
+	direct->measure.decision_us += direct_clock_us() - start_us;
 }
 
 static void direct_send(struct direct *direct, struct direct_call *call,
@@ -135,9 +136,9 @@
 	if (!direct->crashed[engine] &&
 	    engine_model_submit(direct->engines[engine], &request,
 				direct->now_us)) {
-		if (!call->live)
-			g_array_append_val(direct->live, index);
-		call->live = true;
+		if (!call->active)
+			g_array_append_val(direct->active, index);
+		call->active = true;
 		return;
 	}
 	call->avoid_hash = home_hash(direct->engine_names[engine], "", 0);
@@ -145,19 +146,22 @@
 	direct_retry(direct, call);
 }
 
-/* Beyond its slots a plain endpoint serves all, as much more slowly. */
+/*
+ * A plain endpoint serves calls beyond its slots too, more slowly in proportion
+ * to their number.
+ */
 static void direct_send_plain(struct direct *direct, struct direct_call *call,
 			      int32_t plain)
 {
-	int64_t takes_us = call->flow.item->output_tokens;
+	int64_t duration_us = call->flow.item->output_tokens;
 	int32_t running = ++direct->plain_running[plain];
 
 	call->plain = plain;
 	if (running > PLAIN_SLOTS)
-		takes_us = takes_us * running / PLAIN_SLOTS;
-	call->plain_done_us = direct->now_us + takes_us;
-	call->live = true;
-	direct_wait(direct, call);
+		duration_us = duration_us * running / PLAIN_SLOTS;
+	call->plain_done_us = direct->now_us + duration_us;
+	call->active = true;
+	direct_add_waiting(direct, call);
 }
 
 static int32_t direct_index(char *const *names, int32_t count, const char *name)
@@ -168,10 +172,10 @@
 	return -1;
 }
 
-static void direct_decided(struct direct *direct,
-			   const struct placement_decision *decision)
+static void direct_execute_decision(struct direct *direct,
+				    const struct placement_decision *decision)
 {
-	struct direct_call *call = direct_find(direct, decision->ticket);
+	struct direct_call *call = direct_find_call(direct, decision->ticket);
 
 	if (decision->verdict == PLACEMENT_REFUSED) {
 		call->flow.refusal = decision->refusal;
@@ -194,25 +198,25 @@
 static void direct_step_placement(struct direct *direct,
 				  struct placement *placement)
 {
-	double from_us = direct_clock_us();
+	double start_us = direct_clock_us();
 	GArray *decisions;
 
 	g_array_set_size(direct->decisions, 0);
 	placement_step(placement, direct->now_us, direct->decisions);
-	direct->measure.decision_us += direct_clock_us() - from_us;
+	direct->measure.decision_us += direct_clock_us() - start_us;
 	if (direct->decisions->len == 0)
 		return;
 	decisions = direct->decisions;
 	direct->decisions =
 		g_array_new(FALSE, FALSE, sizeof(struct placement_decision));
 	for (guint i = 0; i < decisions->len; i++)
-		direct_decided(direct,
-			       &g_array_index(decisions,
-					      struct placement_decision, i));
+		direct_execute_decision(
+			direct, &g_array_index(decisions,
+					       struct placement_decision, i));
 	g_array_unref(decisions);
 }
 
-/* All decisions that are due. */
+/* Steps all placements and executes their decisions. */
 void direct_step_placements(struct direct *direct)
 {
 	for (int32_t n = 0; n < direct->placement_count; n++)
--- a/bench/direct_engine.c
+++ b/bench/direct_engine.c
@@ -2,17 +2,17 @@
 
 #include <string.h>
 
-#define CACHE_LOST 3
-#define LIARS 3
+#define CACHE_LOST_EVERY 3
+#define IMPLAUSIBLE_ENGINES 3
 #define NOTICE_US (10 * G_USEC_PER_SEC)
-#define RESTART_US (60 * G_USEC_PER_SEC)
-#define STALL_US (20 * G_USEC_PER_SEC)
+#define FAULT_DURATION_US (60 * G_USEC_PER_SEC)
+#define STALL_DURATION_US (20 * G_USEC_PER_SEC)
 #define SLOWDOWN 4.0
 
-static void direct_output(struct direct *direct,
-			  const struct engine_output *output)
+static void direct_handle_output(struct direct *direct,
+				 const struct engine_output *output)
 {
-	struct direct_call *call = direct_find(direct, output->id);
+	struct direct_call *call = direct_find_call(direct, output->id);
 
 	switch (output->type) {
 	case ENGINE_TOKENS:
@@ -37,7 +37,7 @@
 	}
 }
 
-/* What the engines have made. */
+/* Steps the engines that are due and handles their output. */
 void direct_step_engines(struct direct *direct)
 {
 	g_array_set_size(direct->outputs, 0);
@@ -47,14 +47,16 @@
 			engine_model_step(direct->engines[i], direct->now_us,
 					  direct->outputs);
 	for (guint i = 0; i < direct->outputs->len; i++)
-		direct_output(direct, &g_array_index(direct->outputs,
-						     struct engine_output, i));
+		direct_handle_output(direct,
+				     &g_array_index(direct->outputs,
+						    struct engine_output, i));
 }
 
-static void direct_lie(const struct direct *direct, int32_t engine,
-		       struct load_report *report)
+static void direct_distort_load(const struct direct *direct, int32_t engine,
+				struct load_report *report)
 {
-	if (direct->scenario->fault != FAULT_LYING_LOAD || engine >= LIARS)
+	if (direct->scenario->fault != FAULT_LYING_LOAD ||
+	    engine >= IMPLAUSIBLE_ENGINES)
 		return;
 	switch (engine) {
 	case 0:
@@ -72,7 +74,7 @@
 	}
 }
 
-/* Asks the engines for their load; some lie. */
+/* Polls the load of the engines; some report implausible values. */
 void direct_poll(struct direct *direct)
 {
 	for (int32_t i = 0; i < ENGINES; i++) {
@@ -80,7 +82,7 @@
 
 		engine_model_report(direct->engines[i], direct->now_us,
 				    &report);
-		direct_lie(direct, i, &report);
+		direct_distort_load(direct, i, &report);
 		for (int32_t n = 0; n < direct->placement_count; n++) {
 			if (direct->crashed[i])
 				placement_report_unreachable(
@@ -93,28 +95,28 @@
 						      &report, direct->now_us);
 		}
 	}
-	direct->next_poll_us += POLL_US;
+	direct->next_poll_us += POLL_INTERVAL_US;
 }
 
 /*
- * Cache events as engines publish them: two seconds late, a third of them
- * lost.
+ * Forwards the cache events of an engine to the placements: two seconds late,
+ * with a third of them lost.
  */
-void direct_read_cache(struct direct *direct, int32_t engine)
+void direct_forward_cache_events(struct direct *direct, int32_t engine)
 {
 	GArray *events =
 		g_array_new(FALSE, FALSE, sizeof(struct engine_cache_event));
-	int64_t newest = direct->cache_next[engine];
+	int64_t newest = direct->cache_pending[engine];
 
 	engine_model_cache_events(direct->engines[engine],
-				  direct->cache_seen[engine], events);
+				  direct->cache_forwarded[engine], events);
 	for (guint i = 0; i < events->len; i++) {
 		const struct engine_cache_event *event =
 			&g_array_index(events, struct engine_cache_event, i);
 
 		newest = event->number;
-		if (event->number > direct->cache_next[engine] ||
-		    event->number % CACHE_LOST == 0)
+		if (event->number > direct->cache_pending[engine] ||
+		    event->number % CACHE_LOST_EVERY == 0)
 			continue;
 		for (int32_t n = 0; n < direct->placement_count; n++)
 			placement_prefix_cached(direct->placements[n],
@@ -122,8 +124,8 @@
 						event->prefix_hash,
 						event->stored);
 	}
-	direct->cache_seen[engine] = direct->cache_next[engine];
-	direct->cache_next[engine] = newest;
+	direct->cache_forwarded[engine] = direct->cache_pending[engine];
+	direct->cache_pending[engine] = newest;
 	g_array_unref(events);
 }
 
@@ -144,8 +146,9 @@
 	engine_model_crash(direct->engines[engine], direct->now_us,
 			   direct->outputs);
 	for (guint i = 0; i < direct->outputs->len; i++)
-		direct_output(direct, &g_array_index(direct->outputs,
-						     struct engine_output, i));
+		direct_handle_output(direct,
+				     &g_array_index(direct->outputs,
+						    struct engine_output, i));
 }
 
 static void direct_restart(struct direct *direct, int32_t engine)
@@ -154,8 +157,8 @@
 	engine_model_restart(direct->engines[engine], direct->now_us);
 }
 
-/* The faults of the scenario, one after another. */
-void direct_fault(struct direct *direct)
+/* Applies the next stage of the scenario's fault. */
+void direct_step_fault(struct direct *direct)
 {
 	int32_t stage = direct->fault_stage++;
 
@@ -164,7 +167,8 @@
 	case FAULT_CRASH:
 		if (stage == 0) {
 			direct_crash(direct, 0);
-			direct->next_fault_us = direct->now_us + RESTART_US;
+			direct->next_fault_us =
+				direct->now_us + FAULT_DURATION_US;
 		} else {
 			direct_restart(direct, 0);
 		}
@@ -180,13 +184,14 @@
 		break;
 	case FAULT_STALL:
 		engine_model_stall(direct->engines[0],
-				   direct->now_us + STALL_US);
+				   direct->now_us + STALL_DURATION_US);
 		break;
 	case FAULT_SLOW:
 		engine_model_set_slowdown(direct->engines[0],
 					  stage == 0 ? SLOWDOWN : 1);
 		if (stage == 0)
-			direct->next_fault_us = direct->now_us + RESTART_US;
+			direct->next_fault_us =
+				direct->now_us + FAULT_DURATION_US;
 		break;
 	case FAULT_NONE:
 	case FAULT_LATE_LOAD:
--- a/bench/direct_state.h
+++ b/bench/direct_state.h
@@ -14,8 +14,9 @@
 G_BEGIN_DECLS
 
 /*
- * What the parts of a direct run share. direct.c: the run. direct_call.c: calls
- * and decisions. direct_engine.c: engines, what they report, and their faults.
+ * State shared by the files of a direct run. direct.c: the main loop.
+ * direct_call.c: calls and decisions. direct_engine.c: engines, their load
+ * reports and their faults.
  */
 
 #define ENGINES 10
@@ -23,18 +24,18 @@
 #define PLAIN_SLOTS 16
 #define NODES 8
 #define ATTEMPT_BITS 8
-#define POLL_US (500 * 1000)
+#define POLL_INTERVAL_US (500 * 1000)
 
-/* A request on its way: what the entry node of it knows. */
+/* A request, as its entry node keeps it. */
 struct direct_call {
 	struct flow flow;
-	int32_t node;
-	int32_t engine; /* -1: none */
-	int32_t plain;	/* -1: none */
-	uint64_t avoid_hash;
-	int64_t retry_us; /* when to try again; 0: not waiting to */
+	int32_t node;	     /* entry node */
+	int32_t engine;	     /* -1: none */
+	int32_t plain;	     /* plain endpoint; -1: none */
+	uint64_t avoid_hash; /* of the engine that failed last */
+	int64_t retry_us;    /* when to retry; 0: no retry waits */
 	int64_t plain_done_us;
-	bool live; /* placed and not ended */
+	bool active; /* placed and not ended */
 };
 
 struct direct {
@@ -45,19 +46,19 @@
 	struct engine_model *engines[ENGINES];
 	bool crashed[ENGINES];
 	char *engine_names[ENGINES];
-	int64_t cache_seen[ENGINES]; /* events handed on */
-	int64_t cache_next[ENGINES]; /* to be handed on at the next look */
+	int64_t cache_forwarded[ENGINES]; /* last event forwarded or lost */
+	int64_t cache_pending[ENGINES];	  /* last event of the next turn */
 	char *plain_names[PLAIN_ENDPOINTS];
 	int32_t plain_running[PLAIN_ENDPOINTS];
-	struct placement *placements[NODES]; /* one where there is a home */
+	struct placement *placements[NODES]; /* one in all with a home */
 	struct placement *plain_placement;
 	int32_t placement_count;
 	struct retry_budget *budget;
 	GRand *rand;
 	GArray *outputs;
 	GArray *decisions;
-	GArray *live;	 /* guint: calls to report progress of */
-	GArray *waiting; /* guint: calls to try again, or running plain */
+	GArray *active;	 /* guint: indices of calls at engines */
+	GArray *waiting; /* guint: calls to retry, or at plain endpoints */
 	struct measure measure;
 	guint next_item;
 	int64_t next_progress_us;
@@ -70,13 +71,15 @@
 };
 
 /* direct_call.c */
-struct placement *direct_placement(const struct direct *direct,
-				   enum service_kind kind, uint64_t seed);
+struct placement *direct_create_placement(const struct direct *direct,
+					  enum service_kind kind,
+					  uint64_t seed);
 struct placement *direct_call_placement(const struct direct *direct,
 					const struct direct_call *call);
 uint64_t direct_call_ticket(const struct direct *direct,
 			    const struct direct_call *call);
-struct direct_call *direct_find(const struct direct *direct, uint64_t ticket);
+struct direct_call *direct_find_call(const struct direct *direct,
+				     uint64_t ticket);
 void direct_submit(struct direct *direct, struct direct_call *call);
 void direct_end(struct direct *direct, struct direct_call *call,
 		enum flow_end end);
@@ -88,8 +91,8 @@
 /* direct_engine.c */
 void direct_step_engines(struct direct *direct);
 void direct_poll(struct direct *direct);
-void direct_read_cache(struct direct *direct, int32_t engine);
-void direct_fault(struct direct *direct);
+void direct_forward_cache_events(struct direct *direct, int32_t engine);
+void direct_step_fault(struct direct *direct);
 
 /* direct.c */
 double direct_clock_us(void);
--- a/bench/evacuation_bench.c
+++ b/bench/evacuation_bench.c
@@ -5,11 +5,12 @@
 #include <stdlib.h>
 
 /*
- * Ways to keep generations whose engines leave, side by side on the same days
- * in virtual time. Prints the mean over the seeds, and every run with --csv.
+ * Compares the policies for generations whose engines leave, in simulations
+ * with the same arrivals. Prints the mean over the seeds; --csv writes every
+ * run.
  */
 struct bench {
-	struct fleet_options day;
+	struct fleet_options fleet;
 	int seeds;
 	char *csv;
 	FILE *csv_file;
@@ -42,11 +43,11 @@
 	sum->refused_copies += result->refused_copies;
 	sum->missing += result->missing;
 	sum->preemptions += result->preemptions;
-	sum->read_again_tokens += result->read_again_tokens;
+	sum->recomputed_tokens += result->recomputed_tokens;
 	sum->copied_tokens += result->copied_tokens;
 }
 
-static void measure(struct bench *bench, enum fleet_policy policy)
+static void run_policy(struct bench *bench, enum fleet_policy policy)
 {
 	struct fleet_result sum = {0};
 	double n = bench->seeds;
@@ -54,10 +55,10 @@
 	for (int seed = 1; seed <= bench->seeds; seed++) {
 		struct fleet_result result;
 
-		bench->day.policy = policy;
-		bench->day.seed = (uint64_t)seed;
-		fleet_run(&bench->day, &result);
-		write_csv(bench, fleet_policy_name(policy), bench->day.seed,
+		bench->fleet.policy = policy;
+		bench->fleet.seed = (uint64_t)seed;
+		fleet_run(&bench->fleet, &result);
+		write_csv(bench, fleet_policy_name(policy), bench->fleet.seed,
 			  &result);
 		add(&sum, &result);
 	}
@@ -68,7 +69,7 @@
 	       (double)sum.late_first / n, (double)sum.late_pause / n,
 	       (double)sum.lost / n, (double)sum.refused / n,
 	       (double)sum.moves / n, (double)sum.missing / n,
-	       (double)sum.preemptions / n, (double)sum.read_again_tokens / n,
+	       (double)sum.preemptions / n, (double)sum.recomputed_tokens / n,
 	       (double)sum.copied_tokens / n);
 }
 
@@ -91,22 +92,24 @@
 {
 	struct bench bench = {.seeds = 10};
 	struct poptOption options[] = {
-		{"seeds", 0, POPT_ARG_INT, &bench.seeds, 0, "days of each",
+		{"seeds", 0, POPT_ARG_INT, &bench.seeds, 0, "seeds per policy",
 		 "N"},
-		{"seconds", 0, POPT_ARG_DOUBLE, &bench.day.seconds, 0,
-		 "length of a day", "S"},
-		{"load", 0, POPT_ARG_DOUBLE, &bench.day.load, 0,
-		 "1: the usual rate", "X"},
-		{"notice-every", 0, POPT_ARG_DOUBLE, &bench.day.notice_every_s,
-		 0, "an engine leaves so often; 0: none", "S"},
-		{"crash-every", 0, POPT_ARG_DOUBLE, &bench.day.crash_every_s, 0,
-		 "an engine crashes so often; 0: none", "S"},
-		{"csv", 0, POPT_ARG_STRING, &bench.csv, 0, "every run", "FILE"},
+		{"seconds", 0, POPT_ARG_DOUBLE, &bench.fleet.seconds, 0,
+		 "duration of the arrivals", "S"},
+		{"load", 0, POPT_ARG_DOUBLE, &bench.fleet.load, 0,
+		 "factor on the arrival rate", "X"},
+		{"notice-every", 0, POPT_ARG_DOUBLE,
+		 &bench.fleet.notice_every_s, 0,
+		 "time between notices; 0: none", "S"},
+		{"crash-every", 0, POPT_ARG_DOUBLE, &bench.fleet.crash_every_s,
+		 0, "time between crashes; 0: none", "S"},
+		{"csv", 0, POPT_ARG_STRING, &bench.csv, 0,
+		 "write every run to FILE", "FILE"},
 		POPT_AUTOHELP POPT_TABLEEND};
 	poptContext context;
 	int status;
 
-	fleet_options_default(&bench.day);
+	fleet_options_default(&bench.fleet);
 	context = poptGetContext(NULL, argc, argv, options, 0);
 	status = poptGetNextOpt(context);
 	if (status < -1 || bench.seeds < 1 || !open_csv(&bench)) {
@@ -117,7 +120,7 @@
 	printf("policy   worth  reports  in aim   first  pause  lost  refused "
 	       " moves  missing  preempt read again    copied\n");
 	for (int policy = FLEET_STAY; policy < FLEET_POLICIES; policy++)
-		measure(&bench, (enum fleet_policy)policy);
+		run_policy(&bench, (enum fleet_policy)policy);
 	if (bench.csv_file)
 		fclose(bench.csv_file);
 	poptFreeContext(context);
--- a/bench/event_queue.c
+++ b/bench/event_queue.c
@@ -5,7 +5,7 @@
 	uint64_t sequence;
 };
 
-/* An empty queue. */
+/* Creates an empty queue. */
 struct event_queue *event_queue_create(void)
 {
 	struct event_queue *queue = g_new0(struct event_queue, 1);
@@ -14,14 +14,14 @@
 	return queue;
 }
 
-/* Frees the data of an item that is not run. */
+/* Frees the data of an item with its destroy function, if it has one. */
 void queued_clear(struct queued *item)
 {
 	if (item->destroy)
 		item->destroy(item->data);
 }
 
-/* Frees the queue and what is left in it; NULL is allowed. */
+/* Frees the queue and the data of its items; NULL is allowed. */
 void event_queue_destroy(struct event_queue *queue)
 {
 	if (!queue)
@@ -39,7 +39,7 @@
 	return a->sequence < b->sequence;
 }
 
-/* Copies the item; its sequence is set here. */
+/* Adds a copy of the item and sets its sequence. */
 void event_queue_add(struct event_queue *queue, const struct queued *item)
 {
 	struct queued added = *item;
@@ -56,7 +56,7 @@
 	heap[i] = added;
 }
 
-/* When the first item is due; INT64_MAX for an empty queue. */
+/* Time of the first item; INT64_MAX for an empty queue. */
 int64_t event_queue_next_us(const struct event_queue *queue)
 {
 	if (!queue->heap->len)
@@ -64,7 +64,7 @@
 	return g_array_index(queue->heap, struct queued, 0).at_us;
 }
 
-/* Takes the first item out of a queue that is not empty. */
+/* Moves the first item to *item. The queue must not be empty. */
 void event_queue_pop(struct event_queue *queue, struct queued *item)
 {
 	struct queued *heap = (struct queued *)queue->heap->data;
--- a/bench/event_queue.h
+++ b/bench/event_queue.h
@@ -8,8 +8,8 @@
 G_BEGIN_DECLS
 
 /*
- * What is still to happen, earliest first; of the same time, first queued
- * first.
+ * Priority queue of simulation events, ordered by time. Events of the same time
+ * run in the order in which they were added.
  */
 struct world;
 
@@ -17,8 +17,8 @@
 
 struct queued {
 	int64_t at_us;
-	uint64_t sequence;
-	int32_t node; /* dropped when this node is dead; -1: not bound */
+	uint64_t sequence; /* set by event_queue_add */
+	int32_t node;	   /* the event is dropped if it is dead; -1: no node */
 	uint64_t incarnation;
 	event_callback run;
 	void *data;
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define TICK_US 1000
-#define DECIDE_US (20 * 1000) /* how often a generation is looked at */
+#define DECISION_INTERVAL_US (20 * 1000) /* for each generation */
 
 static const char *const policy_names[] = {
 	[FLEET_STAY] = "stay",
@@ -14,7 +14,7 @@
 	[FLEET_BOTH] = "both",
 };
 
-/* As the first site, on its quiet day. */
+/* Fills in the defaults: the load of the first site on a quiet day. */
 void fleet_options_default(struct fleet_options *options)
 {
 	*options = (struct fleet_options){
@@ -29,7 +29,7 @@
 	};
 }
 
-/* Name of a policy, as on the command line. */
+/* Returns the name of a policy as printed; a static string. */
 const char *fleet_policy_name(enum fleet_policy policy)
 {
 	return policy_names[policy];
@@ -73,10 +73,10 @@
 			continue;
 		fleet->result->preemptions +=
 			fleet_engine_preemptions(server->engine);
-		fleet->result->read_again_tokens +=
-			fleet_engine_read_again(server->engine);
+		fleet->result->recomputed_tokens +=
+			fleet_engine_recomputed_tokens(server->engine);
 	}
-	fleet->result->worth = fleet->earned / fleet->owed;
+	fleet->result->worth = fleet->earned_worth / fleet->possible_worth;
 	g_ptr_array_unref(fleet->generations);
 	g_ptr_array_unref(fleet->servers);
 	registry_destroy(fleet->registry);
@@ -86,8 +86,8 @@
 }
 
 /*
- * Plays a day of options->seconds, and on until the last generation has ended.
- * The same options give the same result.
+ * Simulates arrivals for options->seconds, then runs until the last generation
+ * has ended. The same options give the same result.
  */
 void fleet_run(const struct fleet_options *options, struct fleet_result *result)
 {
@@ -99,16 +99,17 @@
 	fleet_begin(&fleet);
 	ends_us = fleet.now_us + (int64_t)(options->seconds * G_USEC_PER_SEC);
 	for (size_t i = 0; i < FLEET_KINDS; i++)
-		next_us[i] = fleet.now_us +
-			     fleet_gap_us(&fleet,
-					  fleet_kinds[i].per_s * options->load);
+		next_us[i] =
+			fleet.now_us +
+			fleet_arrival_gap_us(&fleet, fleet_kinds[i].per_s *
+							     options->load);
 	while (fleet.now_us < ends_us || fleet.generations->len > 0) {
 		fleet.now_us += TICK_US;
 		for (size_t i = 0; i < FLEET_KINDS; i++) {
 			if (fleet.now_us >= ends_us ||
 			    fleet.now_us < next_us[i])
 				continue;
-			next_us[i] += fleet_gap_us(
+			next_us[i] += fleet_arrival_gap_us(
 				&fleet, fleet_kinds[i].per_s * options->load);
 			fleet_arrive(&fleet, &fleet_kinds[i]);
 		}
@@ -117,7 +118,7 @@
 		fleet_step_servers(&fleet);
 		if (fleet.now_us < next_decide_us)
 			continue;
-		next_decide_us = fleet.now_us + DECIDE_US;
+		next_decide_us = fleet.now_us + DECISION_INTERVAL_US;
 		fleet_step_generations(&fleet);
 	}
 	fleet_end(&fleet);
--- a/bench/fleet_change.c
+++ b/bench/fleet_change.c
@@ -2,61 +2,68 @@
 
 #define BACKUP_PERIOD_US 250000
 
-/* Whether engines under notice copy their runs. */
-bool fleet_moves(const struct fleet *fleet)
+/* Whether the policy copies generations off an engine under notice. */
+bool fleet_policy_moves(const struct fleet *fleet)
 {
 	return fleet->options.policy == FLEET_MOVE ||
 	       fleet->options.policy == FLEET_BOTH;
 }
 
-/* Asks the engine that has the copy; false: it has none. */
-static bool ask(struct fleet *fleet, struct fleet_generation *generation,
-		struct fleet_copy *copy)
+/*
+ * Requests a takeover from the engine that holds the copy. Returns false, and
+ * drops the copy, if it does not exist there.
+ */
+static bool request_takeover(struct fleet *fleet,
+			     struct fleet_generation *generation,
+			     struct fleet_copy *copy)
 {
-	struct fleet_run_at run = {
+	struct fleet_engine_run run = {
 		.generation = generation,
 		.prompt_tokens = generation->prompt_tokens,
-		.made = generation->delivered,
+		.generated = generation->delivered,
 		.output_tokens = generation->output_tokens,
 	};
 
-	if (!fleet_copy_stands(fleet, copy)) {
+	if (!fleet_copy_is_usable(fleet, copy)) {
 		fleet->result->missing++;
 		fleet_copy_drop(fleet, copy);
 		return false;
 	}
-	/* A backup follows the run several times a second. */
+	/*
+	 * A backup is brought up to date several times a second, so that fewer
+	 * than 32 tokens must be read again.
+	 */
 	run.unread = copy == &generation->backup
 			     ? generation->delivered % 32
-			     : generation->delivered - copy->made;
-	generation->asked = copy->at;
+			     : generation->delivered - copy->generated;
+	generation->asked_server = copy->holder;
 	generation->asked_us = fleet->now_us;
-	generation->asked_held = fleet_held_tokens(generation);
+	generation->asked_load_tokens = fleet_load_tokens(generation);
 	fleet_copy_drop(fleet, copy);
-	fleet_count_held(fleet, generation->asked, 1, generation->asked_held,
-			 0);
+	fleet_add_load(fleet, generation->asked_server, 1,
+		       generation->asked_load_tokens, 0);
 	generation->asked_run =
-		fleet_engine_add(generation->asked->engine, &run, true);
+		fleet_engine_add(generation->asked_server->engine, &run, true);
 	return true;
 }
 
 static void begin_copy(struct fleet *fleet, struct fleet_generation *generation)
 {
-	struct endpoint_wish wish;
+	struct endpoint_wish criteria;
 	struct fleet_copy *copy = &generation->copy;
 
 	generation->copy_since_us = fleet->now_us;
-	fleet_wish(fleet, generation, &wish);
-	wish.failure_domain = generation->server->domain;
-	wish.far_weight = 0.3;
-	copy->at = fleet_server_of(
-		fleet, endpoint_choose_rescue(fleet->registry, &wish));
-	if (!copy->at)
+	fleet_fill_criteria(fleet, generation, &criteria);
+	criteria.failure_domain = generation->server->domain;
+	criteria.far_weight = 0.3;
+	copy->holder = fleet_server_of(
+		fleet, endpoint_choose_rescue(fleet->registry, &criteria));
+	if (!copy->holder)
 		return;
 	fleet->result->moves++;
-	copy->tokens = wish.tokens;
-	copy->whole_us = INT64_MAX;
-	fleet_count_held(fleet, copy->at, 0, copy->tokens, 0);
+	copy->tokens = criteria.tokens;
+	copy->complete_us = INT64_MAX;
+	fleet_add_load(fleet, copy->holder, 0, copy->tokens, 0);
 	if (fleet_copy_begin(fleet, copy, generation->server,
 			     generation->run)) {
 		generation->copy_state = COPY_UNDER_WAY;
@@ -67,12 +74,12 @@
 	fleet_copy_drop(fleet, copy);
 }
 
-/* What stands where, which also counts when the engine is gone. */
+/* State of the copies, which is also valid after the engine has left. */
 static struct evacuation_input
 copies_of(const struct fleet_generation *generation)
 {
-	const struct fleet_server *target = generation->copy.at;
-	const struct fleet_server *backup = generation->backup.at;
+	const struct fleet_server *target = generation->copy.holder;
+	const struct fleet_server *backup = generation->backup.holder;
 
 	return (struct evacuation_input){
 		.has_backup = fleet_server_serves(backup) &&
@@ -97,17 +104,17 @@
 	input.ends_in_time = evacuation_ends_in_time(generation->delivered,
 						     generation->output_tokens);
 	input.budget_left = true;
-	input.can_copy = fleet_moves(fleet);
+	input.can_copy = fleet_policy_moves(fleet);
 	input.copy_us = fleet->now_us - generation->copy_since_us;
-	input.is_asked = generation->asked != NULL;
+	input.is_asked = generation->asked_server != NULL;
 	input.asked_is_connected = true;
 	input.asked_us = fleet->now_us - generation->asked_us;
 	if (input.has_backup)
 		input.backup_reads_prompts = endpoint_reads_prompts(
-			fleet_endpoint(fleet, generation->backup.at));
+			fleet_endpoint(fleet, generation->backup.holder));
 	if (input.target_serves)
 		input.target_reads_prompts = endpoint_reads_prompts(
-			fleet_endpoint(fleet, generation->copy.at));
+			fleet_endpoint(fleet, generation->copy.holder));
 	return input;
 }
 
@@ -119,13 +126,17 @@
 	generation->copy_since_us = fleet->now_us;
 }
 
-/* The engine that was asked has the run alone from now on. */
-void fleet_let_old_go(struct fleet *fleet, struct fleet_generation *generation)
+/*
+ * Removes the run from its old engine. The engine that takes over has the only
+ * run from now on.
+ */
+void fleet_release_old(struct fleet *fleet, struct fleet_generation *generation)
 {
 	if (generation->server->engine)
 		fleet_engine_remove(generation->server->engine,
 				    generation->run);
-	fleet_count_held(fleet, generation->server, -1, -generation->held, 0);
+	fleet_add_load(fleet, generation->server, -1, -generation->load_tokens,
+		       0);
 	generation->server = NULL;
 	generation->run = NULL;
 }
@@ -147,37 +158,41 @@
 		break;
 	case EVACUATION_ASK_COPY:
 		generation->copy_state = COPY_GIVEN_UP;
-		ask(fleet, generation, &generation->copy);
+		request_takeover(fleet, generation, &generation->copy);
 		break;
 	case EVACUATION_ASK_BACKUP:
-		if (!ask(fleet, generation, &generation->backup))
+		if (!request_takeover(fleet, generation, &generation->backup))
 			generation->backup_failed = true;
 		break;
 	case EVACUATION_LET_OLD_GO:
-		fleet_let_old_go(fleet, generation);
+		fleet_release_old(fleet, generation);
 		break;
 	}
 }
 
-/* Backups begin when their run has; copies under way become whole. */
+/*
+ * Begins the backup once the run has generated tokens for BACKUP_PERIOD_US, and
+ * marks a copy whose transfer has ended as complete.
+ */
 static void step_copies(struct fleet *fleet,
 			struct fleet_generation *generation)
 {
 	struct fleet_copy *backup = &generation->backup;
 
 	generation->run_begun_us = generation->run->begun_us;
-	if (backup->at && backup->whole_us == INT64_MAX &&
+	if (backup->holder && backup->complete_us == INT64_MAX &&
 	    generation->run->begun_us &&
 	    fleet->now_us - generation->run->begun_us > BACKUP_PERIOD_US &&
 	    !fleet_copy_begin(fleet, backup, generation->server,
 			      generation->run))
 		fleet_copy_drop(fleet, backup);
 	if (generation->copy_state == COPY_UNDER_WAY &&
-	    generation->copy.whole_us <= fleet->now_us)
+	    generation->copy.complete_us <= fleet->now_us)
 		generation->copy_state = COPY_WHOLE;
 }
 
-static bool ask_source(struct fleet *fleet, struct fleet_generation *generation)
+static bool request_source_takeover(struct fleet *fleet,
+				    struct fleet_generation *generation)
 {
 	struct evacuation_input input = copies_of(generation);
 
@@ -185,25 +200,29 @@
 	input.begun_us = fleet->now_us - generation->run_begun_us;
 	switch (evacuation_source(&input)) {
 	case EVACUATION_FROM_COPY:
-		return ask(fleet, generation, &generation->copy);
+		return request_takeover(fleet, generation, &generation->copy);
 	case EVACUATION_FROM_BACKUP:
-		return ask(fleet, generation, &generation->backup);
+		return request_takeover(fleet, generation, &generation->backup);
 	case EVACUATION_FROM_NOTHING:
 		break;
 	}
 	return false;
 }
 
-/* Its engine is gone: it goes on from a copy that stands, or is lost. */
+/*
+ * The engine has left: the generation continues at an engine already asked, or
+ * from an existing copy, or is lost.
+ */
 static void rescue(struct fleet *fleet, struct fleet_generation *generation)
 {
-	if (generation->asked || ask_source(fleet, generation))
-		fleet_let_old_go(fleet, generation);
+	if (generation->asked_server ||
+	    request_source_takeover(fleet, generation))
+		fleet_release_old(fleet, generation);
 	else
 		fleet_lose(fleet, generation);
 }
 
-/* Looks after each generation as the gateway does. */
+/* Makes and executes the gateway's decision for each generation. */
 void fleet_step_generations(struct fleet *fleet)
 {
 	for (guint i = fleet->generations->len; i-- > 0;) {
--- a/bench/fleet_engine.c
+++ b/bench/fleet_engine.c
@@ -1,11 +1,10 @@
 #include "bench/fleet_engine.h"
 
 /*
- * Figures of the users' sheets: a step takes 7 ms and more, 14 prompt tokens
- * are read in a ms. What a running generation adds to a step, and how much of a
- * prompt is read in one, is set to what callers saw on quiet days: events of
- * four tokens up to 61 ms apart while prompts are read, a first event after
- * 0.45 s (half of the reports).
+ * From the users' requirements: a step takes at least 7 ms, and an engine reads
+ * 14 prompt tokens per ms. STEP_PER_RUN_US and CHUNK_TOKENS reproduce what
+ * callers see on quiet days: events of four tokens up to 61 ms apart while
+ * prompts are read, and a median first event of a report after 0.45 s.
  */
 #define STEP_US 7000
 #define STEP_PER_RUN_US 120
@@ -14,16 +13,16 @@
 
 struct fleet_engine {
 	struct fleet_engine_options options;
-	GPtrArray *runs; /* struct fleet_run_at, in order of admission */
-	int64_t copies;	 /* tokens kept for others */
+	GPtrArray *runs; /* struct fleet_engine_run, in order of admission */
+	int64_t copy_tokens; /* tokens reserved for copies */
 	int64_t step_ends_us;
-	int64_t chunk; /* read in the step that runs */
+	int64_t chunk_tokens; /* prompt tokens read in the current step */
 	uint64_t next_order;
 	int64_t preemptions;
-	int64_t read_again;
+	int64_t recomputed_tokens;
 };
 
-/* An empty engine that begins its first step now. */
+/* Creates an empty engine that begins its first step at now_us. */
 struct fleet_engine *
 fleet_engine_create(const struct fleet_engine_options *options, int64_t now_us)
 {
@@ -35,7 +34,7 @@
 	return engine;
 }
 
-/* Frees it with its runs; NULL is allowed. */
+/* Frees an engine with its runs; NULL is allowed. */
 void fleet_engine_destroy(struct fleet_engine *engine)
 {
 	if (!engine)
@@ -44,17 +43,17 @@
 	g_free(engine);
 }
 
-static int64_t run_tokens(const struct fleet_run_at *run)
+static int64_t run_tokens(const struct fleet_engine_run *run)
 {
-	return run->prompt_tokens + run->made;
+	return run->prompt_tokens + run->generated;
 }
 
 static int64_t used_tokens(const struct fleet_engine *engine)
 {
-	int64_t used = engine->copies;
+	int64_t used = engine->copy_tokens;
 
 	for (guint i = 0; i < engine->runs->len; i++) {
-		const struct fleet_run_at *run =
+		const struct fleet_engine_run *run =
 			g_ptr_array_index(engine->runs, i);
 
 		if (run->is_admitted)
@@ -63,12 +62,15 @@
 	return used;
 }
 
-/* Takes a run; is_first: before those that wait. Owned by the engine. */
-struct fleet_run_at *fleet_engine_add(struct fleet_engine *engine,
-				      const struct fleet_run_at *run,
-				      bool is_first)
+/*
+ * Adds a copy of run, at the front of the queue with is_first, else at its end.
+ * The engine owns the run that is returned.
+ */
+struct fleet_engine_run *fleet_engine_add(struct fleet_engine *engine,
+					  const struct fleet_engine_run *run,
+					  bool is_first)
 {
-	struct fleet_run_at *added = g_memdup2(run, sizeof(*run));
+	struct fleet_engine_run *added = g_memdup2(run, sizeof(*run));
 
 	added->order = engine->next_order++;
 	if (is_first)
@@ -78,26 +80,26 @@
 	return added;
 }
 
-/* The run is over here, whole or not. */
+/* Removes and frees a run, complete or not. */
 void fleet_engine_remove(struct fleet_engine *engine,
-			 const struct fleet_run_at *run)
+			 const struct fleet_engine_run *run)
 {
 	g_ptr_array_remove(engine->runs, (gpointer)run);
 }
 
-/* Room for a copy; false: there is none. */
-bool fleet_engine_keep_copy(struct fleet_engine *engine, int64_t tokens)
+/* Reserves memory for a copy; false: there is not enough. */
+bool fleet_engine_reserve_copy(struct fleet_engine *engine, int64_t tokens)
 {
 	if (used_tokens(engine) + tokens > engine->options.memory_tokens)
 		return false;
-	engine->copies += tokens;
+	engine->copy_tokens += tokens;
 	return true;
 }
 
-/* Gives the room of a copy back. */
-void fleet_engine_drop_copy(struct fleet_engine *engine, int64_t tokens)
+/* Releases the memory of a copy. */
+void fleet_engine_release_copy(struct fleet_engine *engine, int64_t tokens)
 {
-	engine->copies -= tokens;
+	engine->copy_tokens -= tokens;
 }
 
 static int32_t admitted_count(const struct fleet_engine *engine)
@@ -105,8 +107,8 @@
 	int32_t count = 0;
 
 	for (guint i = 0; i < engine->runs->len; i++)
-		count += ((struct fleet_run_at *)g_ptr_array_index(engine->runs,
-								   i))
+		count += ((struct fleet_engine_run *)g_ptr_array_index(
+				  engine->runs, i))
 				 ->is_admitted;
 	return count;
 }
@@ -114,7 +116,8 @@
 static void admit(struct fleet_engine *engine)
 {
 	for (guint i = 0; i < engine->runs->len; i++) {
-		struct fleet_run_at *run = g_ptr_array_index(engine->runs, i);
+		struct fleet_engine_run *run =
+			g_ptr_array_index(engine->runs, i);
 
 		if (run->is_admitted)
 			continue;
@@ -126,12 +129,13 @@
 	}
 }
 
-static struct fleet_run_at *newest(const struct fleet_engine *engine)
+static struct fleet_engine_run *newest(const struct fleet_engine *engine)
 {
-	struct fleet_run_at *found = NULL;
+	struct fleet_engine_run *found = NULL;
 
 	for (guint i = 0; i < engine->runs->len; i++) {
-		struct fleet_run_at *run = g_ptr_array_index(engine->runs, i);
+		struct fleet_engine_run *run =
+			g_ptr_array_index(engine->runs, i);
 
 		if (run->is_admitted && (!found || run->order > found->order))
 			found = run;
@@ -139,26 +143,27 @@
 	return found;
 }
 
-/* A preempted run is read again, with all that it has made. */
+/* A preempted run reads its prompt and its generated tokens again. */
 static void preempt(struct fleet_engine *engine)
 {
 	while (used_tokens(engine) > engine->options.memory_tokens) {
-		struct fleet_run_at *run = newest(engine);
+		struct fleet_engine_run *run = newest(engine);
 
 		if (!run)
 			return;
 		run->is_admitted = false;
 		engine->preemptions++;
-		engine->read_again += run_tokens(run) - run->unread;
+		engine->recomputed_tokens += run_tokens(run) - run->unread;
 		run->unread = run_tokens(run);
 	}
 }
 
-/* The run whose prompt is being read, or NULL: one after another. */
-static struct fleet_run_at *reading(const struct fleet_engine *engine)
+/* The run whose prompt is being read, or NULL. Only one is read at a time. */
+static struct fleet_engine_run *reading(const struct fleet_engine *engine)
 {
 	for (guint i = 0; i < engine->runs->len; i++) {
-		struct fleet_run_at *run = g_ptr_array_index(engine->runs, i);
+		struct fleet_engine_run *run =
+			g_ptr_array_index(engine->runs, i);
 
 		if (run->is_admitted && run->unread > 0)
 			return run;
@@ -168,59 +173,64 @@
 
 static void begin_step(struct fleet_engine *engine)
 {
-	const struct fleet_run_at *read = reading(engine);
+	const struct fleet_engine_run *read = reading(engine);
 	int64_t step_us = STEP_US + STEP_PER_RUN_US * admitted_count(engine);
 
-	engine->chunk = read ? MIN(read->unread, CHUNK_TOKENS) : 0;
+	engine->chunk_tokens = read ? MIN(read->unread, CHUNK_TOKENS) : 0;
 	step_us = (int64_t)((double)step_us * engine->options.speed);
 	engine->step_ends_us +=
-		step_us + engine->chunk * 1000 / READ_TOKENS_PER_MS;
+		step_us + engine->chunk_tokens * 1000 / READ_TOKENS_PER_MS;
 }
 
-static void end_step(struct fleet_engine *engine, fleet_made made, void *data)
+static void end_step(struct fleet_engine *engine, fleet_token_callback on_token,
+		     void *data)
 {
-	GPtrArray *makers = g_ptr_array_new();
-	struct fleet_run_at *read = reading(engine);
+	GPtrArray *generating = g_ptr_array_new();
+	struct fleet_engine_run *read = reading(engine);
 
 	for (guint i = 0; i < engine->runs->len; i++) {
-		struct fleet_run_at *run = g_ptr_array_index(engine->runs, i);
+		struct fleet_engine_run *run =
+			g_ptr_array_index(engine->runs, i);
 
 		if (run->is_admitted && run->unread == 0)
-			g_ptr_array_add(makers, run);
+			g_ptr_array_add(generating, run);
 	}
 	if (read)
-		read->unread -= MIN(engine->chunk, read->unread);
-	for (guint i = 0; i < makers->len; i++) {
-		struct fleet_run_at *run = g_ptr_array_index(makers, i);
+		read->unread -= MIN(engine->chunk_tokens, read->unread);
+	for (guint i = 0; i < generating->len; i++) {
+		struct fleet_engine_run *run = g_ptr_array_index(generating, i);
 
-		run->made++;
+		run->generated++;
 		if (!run->begun_us)
 			run->begun_us = engine->step_ends_us;
-		made(data, run, engine->step_ends_us);
+		on_token(data, run, engine->step_ends_us);
 	}
-	g_ptr_array_unref(makers);
+	g_ptr_array_unref(generating);
 }
 
-/* Runs to now_us; tells each token that was made, after which a run may go. */
+/*
+ * Runs the steps that end by now_us and calls back for each token. The callback
+ * may remove the run.
+ */
 void fleet_engine_step(struct fleet_engine *engine, int64_t now_us,
-		       fleet_made made, void *data)
+		       fleet_token_callback on_token, void *data)
 {
 	while (engine->step_ends_us <= now_us) {
-		end_step(engine, made, data);
+		end_step(engine, on_token, data);
 		preempt(engine);
 		admit(engine);
 		begin_step(engine);
 	}
 }
 
-/* Runs that lost their memory. */
+/* Number of preemptions so far. */
 int64_t fleet_engine_preemptions(const struct fleet_engine *engine)
 {
 	return engine->preemptions;
 }
 
-/* Tokens read a second time because of that. */
-int64_t fleet_engine_read_again(const struct fleet_engine *engine)
+/* Number of tokens that had to be read again after a preemption. */
+int64_t fleet_engine_recomputed_tokens(const struct fleet_engine *engine)
 {
-	return engine->read_again;
+	return engine->recomputed_tokens;
 }
--- a/bench/fleet_server.c
+++ b/bench/fleet_server.c
@@ -2,26 +2,29 @@
 
 #include <string.h>
 
-/* An engine ends so long after its notice, and another one comes. */
-#define LIFE_FROM_US 1500000
-#define LIFE_SPREAD_US 600000
-#define REPLACED_US 4000000
+/*
+ * An engine leaves NOTICE_MIN_US to NOTICE_MIN_US + NOTICE_SPREAD_US after its
+ * notice. Its replacement starts REPLACE_DELAY_US after it has left.
+ */
+#define NOTICE_MIN_US 1500000
+#define NOTICE_SPREAD_US 600000
+#define REPLACE_DELAY_US 4000000
 #define DOMAINS 3
 
-/* What the gateway believes of a server. */
+/* The gateway's registry entry of a server. */
 struct endpoint *fleet_endpoint(struct fleet *fleet,
 				const struct fleet_server *server)
 {
 	return registry_find(fleet->registry, server->id);
 }
 
-/* Whether it is there and still works, under notice or not. */
+/* Whether a server runs, under notice or not; NULL: false. */
 bool fleet_server_serves(const struct fleet_server *server)
 {
 	return server && server->engine;
 }
 
-/* The server behind an endpoint that was chosen; NULL: none. */
+/* The server of an endpoint, which may be NULL; NULL: not found. */
 struct fleet_server *fleet_server_of(const struct fleet *fleet,
 				     const struct endpoint *endpoint)
 {
@@ -35,9 +38,9 @@
 	return NULL;
 }
 
-/* Counts what the gateway has at a server, or no longer has. */
-void fleet_count_held(struct fleet *fleet, const struct fleet_server *server,
-		      int32_t requests, int64_t tokens, int64_t unread)
+/* Adds to the gateway's own load of a server; negative to subtract. */
+void fleet_add_load(struct fleet *fleet, const struct fleet_server *server,
+		    int32_t requests, int64_t tokens, int64_t unread)
 {
 	struct endpoint *endpoint = fleet_endpoint(fleet, server);
 
@@ -63,7 +66,7 @@
 	registry_take(fleet->registry, &said, false, fleet->now_us);
 }
 
-/* A new engine, registered at once. */
+/* Starts an engine of random speed and registers it. */
 void fleet_start_server(struct fleet *fleet)
 {
 	const struct fleet_engine_options options = {
@@ -72,7 +75,7 @@
 		.speed = 1 + 0.3 * g_rand_double(fleet->faults),
 	};
 	struct fleet_server *server = g_new0(struct fleet_server, 1);
-	int32_t number = fleet->started++;
+	int32_t number = fleet->started_count++;
 
 	g_snprintf(server->id, sizeof(server->id), "e%d", number);
 	g_snprintf(server->domain, sizeof(server->domain), "%c",
@@ -82,34 +85,38 @@
 	register_server(fleet, server);
 }
 
-/* What goes with an engine: its runs, and the runs that were asked there. */
-static void end_server(struct fleet *fleet, struct fleet_server *server)
+/*
+ * Stops an engine with its runs and plans its replacement. Takeovers requested
+ * from it fail; those whose old engine is already released lose the generation.
+ */
+static void stop_server(struct fleet *fleet, struct fleet_server *server)
 {
 	fleet->result->preemptions += fleet_engine_preemptions(server->engine);
-	fleet->result->read_again_tokens +=
-		fleet_engine_read_again(server->engine);
+	fleet->result->recomputed_tokens +=
+		fleet_engine_recomputed_tokens(server->engine);
 	fleet_engine_destroy(g_steal_pointer(&server->engine));
 	register_server(fleet, server);
 	for (size_t i = 0; i < G_N_ELEMENTS(fleet->replace_us); i++) {
 		if (fleet->replace_us[i])
 			continue;
-		fleet->replace_us[i] = fleet->now_us + REPLACED_US;
+		fleet->replace_us[i] = fleet->now_us + REPLACE_DELAY_US;
 		break;
 	}
 	for (guint i = fleet->generations->len; i-- > 0;) {
 		struct fleet_generation *generation =
 			g_ptr_array_index(fleet->generations, i);
 
-		if (generation->asked != server)
+		if (generation->asked_server != server)
 			continue;
-		fleet_count_held(fleet, server, -1, -generation->asked_held, 0);
-		generation->asked = NULL;
+		fleet_add_load(fleet, server, -1,
+			       -generation->asked_load_tokens, 0);
+		generation->asked_server = NULL;
 		if (!generation->server)
 			fleet_lose(fleet, generation);
 	}
 }
 
-static struct fleet_server *any_server(struct fleet *fleet)
+static struct fleet_server *random_server(struct fleet *fleet)
 {
 	for (int tries = 0; tries < 100; tries++) {
 		struct fleet_server *server = g_ptr_array_index(
@@ -123,7 +130,7 @@
 	return NULL;
 }
 
-/* Notices and crashes that are due. */
+/* Applies the notices and crashes that are due. */
 void fleet_step_faults(struct fleet *fleet)
 {
 	struct fleet_server *server;
@@ -132,26 +139,26 @@
 		fleet->next_notice_us +=
 			(int64_t)(fleet->options.notice_every_s *
 				  G_USEC_PER_SEC);
-		server = any_server(fleet);
+		server = random_server(fleet);
 		if (server) {
 			server->notice_us = fleet->now_us;
 			server->ends_us =
-				fleet->now_us + LIFE_FROM_US +
+				fleet->now_us + NOTICE_MIN_US +
 				(int64_t)(g_rand_double(fleet->faults) *
-					  LIFE_SPREAD_US);
+					  NOTICE_SPREAD_US);
 			register_server(fleet, server);
 		}
 	}
 	if (fleet->next_crash_us && fleet->now_us >= fleet->next_crash_us) {
 		fleet->next_crash_us += (int64_t)(fleet->options.crash_every_s *
 						  G_USEC_PER_SEC);
-		server = any_server(fleet);
+		server = random_server(fleet);
 		if (server)
-			end_server(fleet, server);
+			stop_server(fleet, server);
 	}
 }
 
-/* Runs the engines, ends those whose time is up and starts others. */
+/* Runs the engines, stops those that are due and starts replacements. */
 void fleet_step_servers(struct fleet *fleet)
 {
 	for (guint i = 0; i < fleet->servers->len; i++) {
@@ -161,9 +168,9 @@
 		if (!server->engine)
 			continue;
 		fleet_engine_step(server->engine, fleet->now_us,
-				  fleet_take_token, fleet);
+				  fleet_handle_token, fleet);
 		if (server->notice_us && fleet->now_us >= server->ends_us)
-			end_server(fleet, server);
+			stop_server(fleet, server);
 	}
 	for (size_t i = 0; i < G_N_ELEMENTS(fleet->replace_us); i++) {
 		if (!fleet->replace_us[i] ||
@@ -174,7 +181,7 @@
 	}
 }
 
-/* Frees a server. */
+/* Frees a server, a struct fleet_server, with its engine. */
 void fleet_server_destroy(gpointer data)
 {
 	struct fleet_server *server = data;
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -5,8 +5,8 @@
 namespace
 {
 
-struct fleet_result play(enum fleet_policy policy, uint64_t seed,
-			 double crash_every_s = 0)
+struct fleet_result run_fleet(enum fleet_policy policy, uint64_t seed,
+			      double crash_every_s = 0)
 {
 	struct fleet_options options;
 	struct fleet_result result;
@@ -23,8 +23,8 @@
 
 TEST(Fleet, TheSameSeedGivesTheSameDay)
 {
-	struct fleet_result one = play(FLEET_BOTH, 7, 5);
-	struct fleet_result other = play(FLEET_BOTH, 7, 5);
+	struct fleet_result one = run_fleet(FLEET_BOTH, 7, 5);
+	struct fleet_result other = run_fleet(FLEET_BOTH, 7, 5);
 
 	EXPECT_EQ(one.worth, other.worth);
 	EXPECT_EQ(one.copied_tokens, other.copied_tokens);
@@ -37,7 +37,7 @@
 	for (int policy = FLEET_STAY; policy < FLEET_POLICIES; policy++)
 		for (uint64_t seed = 1; seed <= 5; seed++) {
 			struct fleet_result result =
-				play((enum fleet_policy)policy, seed, 4);
+				run_fleet((enum fleet_policy)policy, seed, 4);
 
 			EXPECT_EQ(result.reports,
 				  result.in_aim + result.late_first +
@@ -47,32 +47,32 @@
 }
 
 /*
- * Engines leave after a notice all day. With nothing done a fifth of the
- * reports is lost; copied at the notice, nearly all end whole and on time.
+ * Engines leave after a notice throughout the run. Without copies a fifth of
+ * the reports is lost; with copies nearly all complete on time.
  */
 TEST(Fleet, NearlyAllReportsOutliveANotice)
 {
 	int64_t reports = 0, lost_staying = 0, in_aim_moving = 0;
 
 	for (uint64_t seed = 1; seed <= 10; seed++) {
-		struct fleet_result moving = play(FLEET_BOTH, seed);
+		struct fleet_result moving = run_fleet(FLEET_BOTH, seed);
 
 		reports += moving.reports;
 		in_aim_moving += moving.in_aim;
-		lost_staying += play(FLEET_STAY, seed).lost;
+		lost_staying += run_fleet(FLEET_STAY, seed).lost;
 	}
 	EXPECT_GT(lost_staying * 100, reports * 15);
 	EXPECT_GT(in_aim_moving * 100, reports * 95);
 }
 
-/* Engines crash without a word: only a copy kept from the start helps. */
+/* Engines crash without notice: only a backup saves a report. */
 TEST(Fleet, ABackupOutlivesACrash)
 {
 	int64_t lost_moving = 0, lost_both = 0;
 
 	for (uint64_t seed = 1; seed <= 10; seed++) {
-		lost_moving += play(FLEET_MOVE, seed, 6).lost;
-		lost_both += play(FLEET_BOTH, seed, 6).lost;
+		lost_moving += run_fleet(FLEET_MOVE, seed, 6).lost;
+		lost_both += run_fleet(FLEET_BOTH, seed, 6).lost;
 	}
 	EXPECT_LT(lost_both * 10, lost_moving * 8);
 }
