--- a/tests/soak/soak_caller.c
+++ b/tests/soak/soak_caller.c
@@ -5,31 +5,31 @@
 #include <string.h>
 
 #define MS_US G_TIME_SPAN_MILLISECOND
-/* As the pages give them: time for a connection, and for an answer. */
-#define CONNECT_US G_TIME_SPAN_SECOND
+/* Documented timeouts of a caller: to connect, and to receive the answer. */
+#define CONNECT_TIMEOUT_US G_TIME_SPAN_SECOND
 #define PLAIN_DEADLINE_US (2500 * MS_US)
 #define STREAM_DEADLINE_US (15 * G_TIME_SPAN_SECOND)
-/* A caller whose deadline has passed looks once more before it leaves. */
-#define LAST_LOOK_US (250 * MS_US)
+/* A caller reads for this long after its deadline before it disconnects. */
+#define DEADLINE_SLACK_US (250 * MS_US)
 #define RETRIES 1
-/* Callers that don't wait as they are told retry at once and more often. */
-#define INSISTENT_RETRIES 4
+/* Of callers that ignore Retry-After: they retry at once and more often. */
+#define IMPATIENT_RETRIES 4
 #define PROBE_EVERY_US (150 * MS_US)
-/* In a body: the stand-in for engines crashes on it. */
+/* The fake engine crashes when a request body contains this text. */
 #define POISON "[[poison]]"
 #define POISON_ATTEMPTS 5
 #define POISON_EVERY_US (300 * MS_US)
-/* A configuration's route is removed by the second one after it. */
-#define VERSIONS_OF_ROUTE 2
-
-enum habit {
-	HABIT_NEW,     /* a connection for each request */
-	HABIT_KEEPS,   /* one connection until it ends */
-	HABIT_STALE,   /* an old answer of the directory */
-	HABIT_LEAVES,  /* in the middle of what it asked for */
-	HABIT_INSISTS, /* at once and often */
-	HABIT_ONE_KEY, /* one path only */
-	HABITS
+/* The second version after the one that added a route removes the route. */
+#define ROUTE_LIFE_VERSIONS 2
+
+enum behaviour {
+	BEHAVIOUR_NEW_CONNECTION,  /* opens a connection for each request */
+	BEHAVIOUR_KEEP_ALIVE,	   /* reuses a connection until it ends */
+	BEHAVIOUR_STALE_DIRECTORY, /* uses expired directory answers */
+	BEHAVIOUR_DISCONNECT, /* disconnects in the middle of some answers */
+	BEHAVIOUR_IMPATIENT,  /* retries at once and more often */
+	BEHAVIOUR_ONE_KEY,    /* uses key 0 in every path */
+	BEHAVIOURS
 };
 
 struct caller {
@@ -44,13 +44,13 @@
 	GPtrArray *attempts;
 	int32_t number;
 	int32_t sent;
-	enum habit habit;
+	enum behaviour behaviour;
 };
 
 struct soak_callers {
 	const struct soak_schedule *schedule;
 	struct soak_view *view;
-	gint running;	 /* threads */
+	gint running;	 /* threads that run; atomic */
 	GPtrArray *list; /* struct caller */
 };
 
@@ -63,12 +63,13 @@
 	caller->callers = callers;
 	caller->view = callers->view;
 	caller->number = (int32_t)callers->list->len;
-	caller->habit = (enum habit)(caller->number % HABITS);
+	caller->behaviour = (enum behaviour)(caller->number % BEHAVIOURS);
 	seeds[0] = callers->schedule->seed;
 	seeds[1] = (guint32)caller->number;
 	caller->random = g_rand_new_with_seed_array(seeds, 2);
-	caller->directory = soak_directory_create(callers->view, caller->random,
-						  caller->habit == HABIT_STALE);
+	caller->directory = soak_directory_create(
+		callers->view, caller->random,
+		caller->behaviour == BEHAVIOUR_STALE_DIRECTORY);
 	caller->attempts = g_ptr_array_new();
 	g_ptr_array_add(callers->list, caller);
 	return caller;
@@ -94,7 +95,7 @@
 {
 	bool streams = attempt->kind == SOAK_KIND_STREAM ||
 		       attempt->kind == SOAK_KIND_POISON;
-	/* The same text each time: what crashes engines is known by it. */
+	/* Always the same body: the quarantine fingerprints requests by it. */
 	const char *body =
 		attempt->kind == SOAK_KIND_POISON ? POISON : attempt->id;
 	bool has_body = attempt->kind != SOAK_KIND_IDEMPOTENT &&
@@ -113,7 +114,7 @@
 		has_body ? strlen(body) : 0, has_body ? body : "");
 }
 
-/* A connection to the front, kept if the caller keeps one there. */
+/* Reuses the kept connection to the front if it is usable, or connects. */
 static struct soak_session *caller_connect(struct caller *caller,
 					   const char *front)
 {
@@ -123,14 +124,14 @@
 	if (caller->kept && g_strcmp0(caller->kept_front, front) == 0 &&
 	    soak_session_is_sound(caller->kept))
 		return g_steal_pointer(&caller->kept);
-	return soak_session_create(via, g_get_monotonic_time() + CONNECT_US,
-				   &error);
+	return soak_session_create(
+		via, g_get_monotonic_time() + CONNECT_TIMEOUT_US, &error);
 }
 
-static void caller_put_back(struct caller *caller, const char *front,
-			    struct soak_session *connection)
+static void caller_release_connection(struct caller *caller, const char *front,
+				      struct soak_session *connection)
 {
-	if (caller->habit != HABIT_KEEPS ||
+	if (caller->behaviour != BEHAVIOUR_KEEP_ALIVE ||
 	    !soak_session_is_sound(connection)) {
 		soak_session_destroy(connection);
 		return;
@@ -141,21 +142,22 @@
 	caller->kept_front = g_strdup(front);
 }
 
-/* How long and how much a caller that leaves early reads. */
-static void caller_choose_leaving(struct caller *caller, int64_t *until_us,
-				  int64_t *leave_bytes)
+/* Sets the time or the byte count at which the caller disconnects early. */
+static void caller_plan_disconnect(struct caller *caller, int64_t *until_us,
+				   int64_t *disconnect_bytes)
 {
-	*leave_bytes = 0;
-	if (caller->habit != HABIT_LEAVES || g_rand_boolean(caller->random))
+	*disconnect_bytes = 0;
+	if (caller->behaviour != BEHAVIOUR_DISCONNECT ||
+	    g_rand_boolean(caller->random))
 		return;
 	if (g_rand_boolean(caller->random))
-		*leave_bytes = g_rand_int_range(caller->random, 1, 2000);
+		*disconnect_bytes = g_rand_int_range(caller->random, 1, 2000);
 	else
 		*until_us = g_get_monotonic_time() +
 			    g_rand_int_range(caller->random, 5, 500) * MS_US;
 }
 
-/* Sends one attempt and reads what comes of it. */
+/* Sends one attempt, reads its answer and records both. */
 static struct soak_attempt *caller_attempt(struct caller *caller,
 					   enum soak_kind kind,
 					   const char *path, const char *front,
@@ -166,34 +168,34 @@
 				caller->number, caller->sent++);
 	struct soak_attempt *attempt =
 		soak_attempt_create(kind, id, path, front);
-	int64_t until_us = deadline_us + LAST_LOOK_US;
+	int64_t until_us = deadline_us + DEADLINE_SLACK_US;
 	struct soak_session *connection = caller_connect(caller, front);
 	struct error error = {0};
-	int64_t leave_bytes;
+	int64_t disconnect_bytes;
 
 	g_ptr_array_add(caller->attempts, attempt);
 	attempt->deadline_us = deadline_us;
 	if (connection) {
 		g_autofree char *text = request_text(attempt);
 
-		caller_choose_leaving(caller, &until_us, &leave_bytes);
+		caller_plan_disconnect(caller, &until_us, &disconnect_bytes);
 		attempt->end = SOAK_END_RESET;
 		if (soak_session_send(connection, text, until_us, &error)) {
 			attempt->sent_us = g_get_monotonic_time();
 			attempt->end =
 				soak_session_read(connection, attempt->answer,
-						  until_us, leave_bytes);
+						  until_us, disconnect_bytes);
 			if (attempt->end == SOAK_END_TIMEOUT &&
 			    until_us < deadline_us)
 				attempt->end = SOAK_END_LEFT;
 		}
-		caller_put_back(caller, front, connection);
+		caller_release_connection(caller, front, connection);
 	}
 	attempt->ended_us = g_get_monotonic_time();
 	return attempt;
 }
 
-static bool is_promise(int32_t status)
+static bool is_not_executed_status(int32_t status)
 {
 	return status == 429 || status == 503 || status == 408 || status == 421;
 }
@@ -204,7 +206,7 @@
 
 	if (attempt->end == SOAK_END_REFUSED)
 		return true;
-	if (attempt->end == SOAK_END_WHOLE && is_promise(status))
+	if (attempt->end == SOAK_END_WHOLE && is_not_executed_status(status))
 		return true;
 	if (attempt->end == SOAK_END_LEFT ||
 	    attempt->kind != SOAK_KIND_IDEMPOTENT)
@@ -218,7 +220,7 @@
 	int64_t left_us = attempt->deadline_us - g_get_monotonic_time();
 	int64_t wait_us = MAX(attempt->answer->retry_after_us, 0);
 
-	if (caller->habit != HABIT_INSISTS && left_us > 0)
+	if (caller->behaviour != BEHAVIOUR_IMPATIENT && left_us > 0)
 		g_usleep((gulong)MIN(wait_us, left_us / 3));
 }
 
@@ -228,14 +230,15 @@
 	int64_t deadline_us = g_get_monotonic_time() +
 			      (kind == SOAK_KIND_STREAM ? STREAM_DEADLINE_US
 							: PLAIN_DEADLINE_US);
-	int retries =
-		caller->habit == HABIT_INSISTS ? INSISTENT_RETRIES : RETRIES;
+	int retries = caller->behaviour == BEHAVIOUR_IMPATIENT
+			      ? IMPATIENT_RETRIES
+			      : RETRIES;
 
 	for (int i = 0; i <= retries; i++) {
 		g_autofree char *front =
 			caller->kept && caller->kept_front
 				? g_strdup(caller->kept_front)
-				: soak_directory_choose(caller->directory);
+				: soak_directory_pick(caller->directory);
 		const struct soak_attempt *attempt;
 
 		if (!front || g_get_monotonic_time() >= deadline_us)
@@ -263,7 +266,7 @@
 		{SOAK_KIND_IDEMPOTENT, "/lookup/", 35},
 	};
 	int32_t draw = g_rand_int_range(caller->random, 0, 100);
-	int32_t key = caller->habit == HABIT_ONE_KEY
+	int32_t key = caller->behaviour == BEHAVIOUR_ONE_KEY
 			      ? 0
 			      : g_rand_int_range(caller->random, 1, 1000);
 
@@ -293,8 +296,8 @@
 }
 
 /*
- * Asks one node for the route that the newest configuration added, then for
- * the one that it removed.
+ * Requests from one node, in turn, the route that the newest configuration
+ * added and the one that it removed.
  */
 static gpointer prober_run(gpointer data)
 {
@@ -303,7 +306,7 @@
 
 	for (int32_t i = 0; soak_view_goes_on(caller->view); i++) {
 		int32_t newest = soak_view_version(caller->view);
-		int32_t version = i % 2 ? newest - VERSIONS_OF_ROUTE : newest;
+		int32_t version = i % 2 ? newest - ROUTE_LIFE_VERSIONS : newest;
 		g_autofree char *front = soak_view_front(caller->view, node);
 		g_autofree char *path = g_strdup_printf("/p%d/%d", version, i);
 		struct soak_attempt *attempt;
@@ -322,14 +325,13 @@
 	return NULL;
 }
 
-/* A request that crashes who runs it comes again, at any node. */
+/* Sends the request that crashes its engine several times, to any node. */
 static gpointer poison_run(gpointer data)
 {
 	struct caller *caller = data;
 
 	for (int i = 0; i < POISON_ATTEMPTS; i++) {
-		g_autofree char *front =
-			soak_directory_choose(caller->directory);
+		g_autofree char *front = soak_directory_pick(caller->directory);
 
 		if (front)
 			caller_attempt(caller, SOAK_KIND_POISON,
@@ -342,7 +344,10 @@
 	return NULL;
 }
 
-/* Starts a prober for each node, and the callers of the schedule. */
+/*
+ * Starts a prober for each node, and the callers of the schedule. The schedule
+ * and the view must outlive the callers.
+ */
 struct soak_callers *soak_callers_create(const struct soak_schedule *schedule,
 					 struct soak_view *view)
 {
@@ -356,28 +361,28 @@
 		bool is_prober = i < schedule->nodes;
 
 		if (is_prober)
-			caller->habit = HABIT_NEW;
+			caller->behaviour = BEHAVIOUR_NEW_CONNECTION;
 		caller_start(caller, is_prober ? prober_run : caller_run);
 	}
 	return callers;
 }
 
-/* One more caller, whose request crashes the engines that run it. */
+/* Starts one more caller, whose request crashes the engines that run it. */
 void soak_callers_send_poison(struct soak_callers *callers)
 {
 	struct caller *caller = caller_create(callers);
 
-	caller->habit = HABIT_NEW;
+	caller->behaviour = BEHAVIOUR_NEW_CONNECTION;
 	caller_start(caller, poison_run);
 }
 
-/* Whether all have ended, so that finishing them takes no time. */
+/* Whether all threads have ended; soak_callers_finish does not block then. */
 bool soak_callers_have_ended(struct soak_callers *callers)
 {
 	return g_atomic_int_get(&callers->running) == 0;
 }
 
-/* Waits for all of them, hands over what they got, and frees them. */
+/* Waits for all threads, moves their attempts to evidence, and frees them. */
 void soak_callers_finish(struct soak_callers *callers,
 			 struct soak_evidence *evidence)
 {
--- a/tests/soak/soak_caller.h
+++ b/tests/soak/soak_caller.h
@@ -10,10 +10,11 @@
 G_BEGIN_DECLS
 
 /*
- * The callers of a run: each a thread that asks the directory where to
- * connect, sends requests of all kinds, and retries as callers do. Beside
- * them a prober for each node asks for the routes that the newest versions of
- * the configuration added and removed.
+ * The callers of a run. Each is a thread that queries the directory for the
+ * addresses of the nodes, sends requests of all kinds, and retries as the
+ * rules for callers allow. In addition, one prober thread for each node
+ * requests the routes that the newest versions of the configuration added and
+ * removed.
  */
 struct soak_callers;
 
--- a/tests/soak/soak_connection.c
+++ b/tests/soak/soak_connection.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-/* What belongs to no request, yet reads like an answer to the next one. */
+/* Belongs to no request, but looks like an answer to the next one. */
 #define STRAY_ANSWER "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 
 #define READ_BYTES 16384
@@ -14,13 +14,13 @@
 
 struct side {
 	GSocket *socket;
-	gpointer tag; /* in the source; NULL: not polled */
+	gpointer tag; /* of the fd in the source; NULL: not polled */
 	GIOCondition polled;
-	struct soak_pipe *sent; /* what this side has sent */
-	int64_t next_byte_us;	/* a trickle's, towards this side */
-	bool shut;		/* it has been told that the other one ended */
-	bool reset;		/* by a reset */
-	bool failed;		/* nothing can be sent to it any more */
+	struct soak_pipe *sent; /* bytes received from this side */
+	int64_t next_byte_us;	/* to this side, with SOAK_LINK_TRICKLE */
+	bool shutdown_sent;	/* the end of the other side was forwarded */
+	bool reset_sent;	/* it was forwarded as a reset */
+	bool failed;		/* nothing more can be sent to this side */
 };
 
 struct soak_connection {
@@ -28,9 +28,9 @@
 	struct side sides[SIDES];
 	const struct soak_link *link;
 	bool connecting;
-	bool silent;	      /* for good */
-	bool answered;	      /* the last bytes that passed went back */
-	int64_t last_sent_us; /* when they did */
+	bool silent;	      /* forwards nothing, until the connection ends */
+	bool answered;	      /* the last bytes forwarded went to the client */
+	int64_t last_sent_us; /* time of the last bytes forwarded */
 	soak_connection_ended ended;
 	void *data;
 };
@@ -40,7 +40,7 @@
 	struct soak_connection *connection;
 };
 
-static bool link_holds(const struct soak_connection *connection, int from)
+static bool link_blocks(const struct soak_connection *connection, int from)
 {
 	if (connection->silent)
 		return true;
@@ -48,8 +48,8 @@
 			      : soak_link_holds_back(connection->link);
 }
 
-static int64_t arrival_us(const struct soak_connection *connection,
-			  int64_t now_us)
+static int64_t forward_due_us(const struct soak_connection *connection,
+			      int64_t now_us)
 {
 	if (connection->link->kind == SOAK_LINK_DELAY)
 		return now_us + connection->link->delay_us;
@@ -57,8 +57,8 @@
 }
 
 /*
- * The side is gone: nothing more reaches it, and the other one is told so as
- * soon as the link lets it.
+ * Marks a side as failed: discards what was to be sent to it, and forwards a
+ * reset to the other side as soon as the link lets it through.
  */
 static void side_fail(struct soak_connection *connection, int from,
 		      int64_t now_us)
@@ -68,36 +68,36 @@
 	side->failed = true;
 	soak_pipe_discard(connection->sides[1 - from].sent);
 	soak_pipe_set_end(side->sent, SOAK_PIPE_RESET,
-			  arrival_us(connection, now_us));
+			  forward_due_us(connection, now_us));
 }
 
-/* Takes in what a side has sent, as far as there is room. */
+/* Reads from a side as much as fits into its pipe. */
 static void side_read(struct soak_connection *connection, int from,
 		      int64_t now_us)
 {
 	struct side *side = &connection->sides[from];
 	char bytes[READ_BYTES];
-	size_t room = MIN(soak_pipe_room(side->sent), sizeof(bytes));
+	size_t free_bytes = MIN(soak_pipe_room(side->sent), sizeof(bytes));
 	g_autoptr(GError) error = NULL;
 	gssize got;
 
-	if (room == 0 || soak_pipe_get_end(side->sent) != SOAK_PIPE_OPEN)
+	if (free_bytes == 0 || soak_pipe_get_end(side->sent) != SOAK_PIPE_OPEN)
 		return;
-	got = g_socket_receive(side->socket, bytes, room, NULL, &error);
+	got = g_socket_receive(side->socket, bytes, free_bytes, NULL, &error);
 	if (got > 0 && !connection->sides[1 - from].failed) {
 		soak_pipe_add(side->sent, bytes, (size_t)got,
-			      arrival_us(connection, now_us));
+			      forward_due_us(connection, now_us));
 		if (from == CLIENT)
 			connection->answered = false;
 	} else if (got == 0) {
 		soak_pipe_set_end(side->sent, SOAK_PIPE_CLOSED,
-				  arrival_us(connection, now_us));
+				  forward_due_us(connection, now_us));
 	} else if (got < 0 &&
 		   !g_error_matches(error, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK))
 		side_fail(connection, from, now_us);
 }
 
-/* Sends one piece on to a side; false: it takes no more now. */
+/* Forwards one chunk to a side; false: nothing more can be sent now. */
 static bool side_write(struct soak_connection *connection, int to,
 		       int64_t now_us)
 {
@@ -128,45 +128,48 @@
 }
 
 /*
- * One that was told of a close is told again of a reset: a party that closed
- * and is still sent to answers with one, and the sender stops by it.
+ * Whether the end of the other side has been forwarded. A reset is forwarded
+ * even after a close: a party that has closed and still receives bytes answers
+ * with a reset, and the sender must get it in order to stop.
  */
-static bool side_knows_end(const struct soak_connection *connection, int to)
+static bool side_end_is_forwarded(const struct soak_connection *connection,
+				  int to)
 {
 	const struct side *side = &connection->sides[to];
 	const struct soak_pipe *pipe = connection->sides[1 - to].sent;
 
-	return side->reset ||
-	       (side->shut && soak_pipe_get_end(pipe) != SOAK_PIPE_RESET);
+	return side->reset_sent || (side->shutdown_sent &&
+				    soak_pipe_get_end(pipe) != SOAK_PIPE_RESET);
 }
 
-/* Tells a side, behind the last bytes, how the other one ended. */
-static void side_end(struct soak_connection *connection, int to, int64_t now_us)
+/* Forwards the end of the other side, after the last bytes. */
+static void side_forward_end(struct soak_connection *connection, int to,
+			     int64_t now_us)
 {
 	struct side *side = &connection->sides[to];
 	const struct soak_pipe *pipe = connection->sides[1 - to].sent;
 
-	if (side_knows_end(connection, to) || !soak_pipe_is_empty(pipe) ||
-	    soak_pipe_due_us(pipe) > now_us)
+	if (side_end_is_forwarded(connection, to) ||
+	    !soak_pipe_is_empty(pipe) || soak_pipe_due_us(pipe) > now_us)
 		return;
-	side->shut = true;
-	side->reset = soak_pipe_get_end(pipe) == SOAK_PIPE_RESET;
-	if (side->reset)
+	side->shutdown_sent = true;
+	side->reset_sent = soak_pipe_get_end(pipe) == SOAK_PIPE_RESET;
+	if (side->reset_sent)
 		soak_socket_reset(side->socket);
 	else if (!side->failed)
 		g_socket_shutdown(side->socket, FALSE, TRUE, NULL);
 }
 
-static void pass_on(struct soak_connection *connection, int from,
-		    int64_t now_us)
+static void connection_forward(struct soak_connection *connection, int from,
+			       int64_t now_us)
 {
-	if (link_holds(connection, from))
+	if (link_blocks(connection, from))
 		return;
 	if (connection->connecting && from == CLIENT)
 		return;
 	while (side_write(connection, 1 - from, now_us))
 		continue;
-	side_end(connection, 1 - from, now_us);
+	side_forward_end(connection, 1 - from, now_us);
 }
 
 static int64_t stray_due_us(const struct soak_connection *connection)
@@ -178,13 +181,13 @@
 	return connection->last_sent_us + connection->link->delay_us;
 }
 
-static void add_stray(struct soak_connection *connection, int64_t now_us)
+static void add_stray_answer(struct soak_connection *connection, int64_t now_us)
 {
 	if (stray_due_us(connection) > now_us)
 		return;
 	soak_pipe_add(connection->sides[TARGET].sent, STRAY_ANSWER,
 		      strlen(STRAY_ANSWER), now_us);
-	pass_on(connection, TARGET, now_us);
+	connection_forward(connection, TARGET, now_us);
 	connection->answered = false;
 }
 
@@ -200,28 +203,29 @@
 		side_fail(connection, TARGET, now_us);
 }
 
-/* Whether a side need not be told anything more. */
-static bool side_is_over(const struct soak_connection *connection, int i)
+/* Whether nothing more has to be forwarded to a side. */
+static bool side_is_finished(const struct soak_connection *connection, int i)
 {
 	const struct side *side = &connection->sides[i];
 
 	return connection->silent
 		       ? soak_pipe_get_end(side->sent) != SOAK_PIPE_OPEN
-		       : side->shut || g_socket_is_closed(side->socket);
+		       : side->shutdown_sent ||
+				 g_socket_is_closed(side->socket);
 }
 
-static bool connection_is_over(const struct soak_connection *connection)
+static bool connection_is_finished(const struct soak_connection *connection)
 {
-	if (side_is_over(connection, CLIENT) &&
-	    side_is_over(connection, TARGET))
+	if (side_is_finished(connection, CLIENT) &&
+	    side_is_finished(connection, TARGET))
 		return true;
-	/* One side is gone and the other has been reset for it. */
+	/* One side is closed and the other one has been reset for it. */
 	return g_socket_is_closed(connection->sides[CLIENT].socket) ||
 	       g_socket_is_closed(connection->sides[TARGET].socket);
 }
 
-static GIOCondition wanted(const struct soak_connection *connection, int i,
-			   int64_t now_us)
+static GIOCondition poll_condition(const struct soak_connection *connection,
+				   int i, int64_t now_us)
 {
 	const struct side *side = &connection->sides[i];
 	const struct soak_pipe *pipe = connection->sides[1 - i].sent;
@@ -232,18 +236,21 @@
 	if (soak_pipe_room(side->sent) > 0 &&
 	    soak_pipe_get_end(side->sent) == SOAK_PIPE_OPEN)
 		condition |= G_IO_IN;
-	if (!link_holds(connection, 1 - i) && !side->failed &&
+	if (!link_blocks(connection, 1 - i) && !side->failed &&
 	    connection->link->kind != SOAK_LINK_TRICKLE &&
 	    !soak_pipe_is_empty(pipe) && soak_pipe_due_us(pipe) <= now_us)
 		condition |= G_IO_OUT;
 	return condition;
 }
 
-/* A socket that wants nothing isn't polled: its hang-up would come again. */
-static void poll_side(struct soak_connection *connection, int i, int64_t now_us)
+/*
+ * A socket that waits for nothing is not polled: its hang-up would be delivered
+ * again and again.
+ */
+static void side_poll(struct soak_connection *connection, int i, int64_t now_us)
 {
 	struct side *side = &connection->sides[i];
-	GIOCondition condition = wanted(connection, i, now_us);
+	GIOCondition condition = poll_condition(connection, i, now_us);
 
 	if (side->tag && condition == side->polled)
 		return;
@@ -257,27 +264,28 @@
 						 condition);
 }
 
-/* When the next held byte towards a side may leave. */
+/* When the next delayed byte may be sent to a side; INT64_MAX: not by time. */
 static int64_t side_due_us(const struct soak_connection *connection, int to,
 			   int64_t now_us)
 {
 	const struct side *side = &connection->sides[to];
 	int64_t due_us = soak_pipe_due_us(connection->sides[1 - to].sent);
 
-	if (link_holds(connection, 1 - to) || side_knows_end(connection, to) ||
+	if (link_blocks(connection, 1 - to) ||
+	    side_end_is_forwarded(connection, to) ||
 	    (connection->connecting && to == TARGET))
 		return INT64_MAX;
 	if (connection->link->kind == SOAK_LINK_TRICKLE && due_us <= now_us)
 		return side->next_byte_us;
-	return due_us <= now_us ? INT64_MAX : due_us; /* else by polling */
+	return due_us <= now_us ? INT64_MAX : due_us; /* due: poll */
 }
 
-static void wait_for_next(struct soak_connection *connection, int64_t now_us)
+static void schedule_next(struct soak_connection *connection, int64_t now_us)
 {
 	int64_t due_us = stray_due_us(connection);
 
 	for (int i = 0; i < SIDES; i++) {
-		poll_side(connection, i, now_us);
+		side_poll(connection, i, now_us);
 		due_us = MIN(due_us, side_due_us(connection, i, now_us));
 	}
 	g_source_set_ready_time(connection->source,
@@ -297,21 +305,21 @@
 	side_read(connection, CLIENT, now_us);
 	if (!connection->connecting)
 		side_read(connection, TARGET, now_us);
-	pass_on(connection, CLIENT, now_us);
-	pass_on(connection, TARGET, now_us);
-	add_stray(connection, now_us);
-	if (connection_is_over(connection))
+	connection_forward(connection, CLIENT, now_us);
+	connection_forward(connection, TARGET, now_us);
+	add_stray_answer(connection, now_us);
+	if (connection_is_finished(connection))
 		connection->ended(connection->data, connection);
 	else
-		wait_for_next(connection, now_us);
+		schedule_next(connection, now_us);
 	return G_SOURCE_CONTINUE;
 }
 
 static GSourceFuncs source_functions = {.dispatch = connection_dispatch};
 
 /*
- * Starts to connect. A refusal may come at once or when the socket is polled;
- * the client then gets a reset, as from a host without such a listener.
+ * Starts to connect. A refusal may arrive at once or when the socket is polled;
+ * the client then gets a reset, as from a host without a listener on that port.
  */
 static void start_connect(struct soak_connection *connection,
 			  GSocketAddress *target)
@@ -335,9 +343,10 @@
 }
 
 /*
- * Connects from source to the target, and takes the client's socket over; NULL,
- * with a reset for the client: this process has no socket left. The connection
- * reads the link whenever it has something to do.
+ * Connects from source to the target, and takes ownership of the client's
+ * socket. Returns NULL, after a reset to the client, if this process has no
+ * socket left. The link must outlive the connection, which reads it at each
+ * event.
  */
 struct soak_connection *
 soak_connection_create(GSocket *client, GSocketAddress *source,
@@ -368,7 +377,7 @@
 	return connection;
 }
 
-/* Closes both sides; NULL is allowed. */
+/* Closes both sides and frees the connection; NULL is allowed. */
 void soak_connection_destroy(struct soak_connection *connection)
 {
 	if (!connection)
@@ -383,7 +392,10 @@
 	g_free(connection);
 }
 
-/* Call it when the link has another kind or delay. */
+/*
+ * Applies a changed kind or delay of the link. SOAK_LINK_SILENT applies to the
+ * connection until it ends, whatever the link becomes later.
+ */
 void soak_connection_link_changed(struct soak_connection *connection)
 {
 	if (connection->link->kind == SOAK_LINK_SILENT)
@@ -391,7 +403,7 @@
 	g_source_set_ready_time(connection->source, 0);
 }
 
-/* Resets both sides at once, and destroys it. */
+/* Resets both sides at once, and destroys the connection. */
 void soak_connection_reset(struct soak_connection *connection)
 {
 	for (int i = 0; i < SIDES; i++)
--- a/tests/soak/soak_connection.h
+++ b/tests/soak/soak_connection.h
@@ -6,9 +6,10 @@
 #include <gio/gio.h>
 
 /*
- * One connection through the proxy, two sockets and a pipe each way. It follows
- * the link it was given, which its owner may change, and ends by itself: ended
- * is called once and owns it then.
+ * One connection through the proxy: two sockets, and a pipe for each direction.
+ * It treats the bytes as its link says; the owner of the link may change it
+ * (see soak_connection_link_changed). When the connection is over, ended is
+ * called once and takes ownership of it.
  */
 struct soak_connection;
 
--- a/tests/soak/soak_directory.h
+++ b/tests/soak/soak_directory.h
@@ -8,13 +8,13 @@
 
 G_BEGIN_DECLS
 
-/* What a caller knows of where to connect, and for how long. */
+/* A caller's cache of the node addresses that the directory returned. */
 struct soak_directory;
 
 struct soak_directory *soak_directory_create(struct soak_view *view,
-					     GRand *random, bool keeps_long);
+					     GRand *random, bool keeps_stale);
 void soak_directory_destroy(struct soak_directory *directory);
-char *soak_directory_choose(struct soak_directory *directory);
+char *soak_directory_pick(struct soak_directory *directory);
 void soak_directory_note_failed(struct soak_directory *directory,
 				const char *front);
 
--- a/tests/soak/soak_evidence.c
+++ b/tests/soak/soak_evidence.c
@@ -6,7 +6,7 @@
 #define STEP_JOURNAL "soak.journal"
 #define JOURNAL_FIELDS 5
 
-/* For records and logs. */
+/* Returns the static name of a kind, as records and logs write it. */
 const char *soak_kind_name(enum soak_kind kind)
 {
 	static const char *const names[SOAK_KINDS] = {
@@ -20,7 +20,11 @@
 	return names[kind];
 }
 
-/* An attempt that begins now. */
+/*
+ * Returns an attempt that begins now, with an empty answer, and the end
+ * SOAK_END_REFUSED until the caller sets another. Copies the strings; the
+ * caller owns the attempt.
+ */
 struct soak_attempt *soak_attempt_create(enum soak_kind kind, const char *id,
 					 const char *path, const char *front)
 {
@@ -36,7 +40,7 @@
 	return attempt;
 }
 
-/* Frees it; NULL is allowed. */
+/* Frees an attempt and its answer; NULL is allowed. */
 void soak_attempt_destroy(gpointer data)
 {
 	struct soak_attempt *attempt = data;
@@ -76,7 +80,7 @@
 	g_free(leaving->engine);
 }
 
-/* Nothing has happened yet. */
+/* Returns empty records, with the current offset to the Unix time. */
 struct soak_evidence *soak_evidence_create(void)
 {
 	struct soak_evidence *evidence = g_new0(struct soak_evidence, 1);
@@ -97,7 +101,7 @@
 	return evidence;
 }
 
-/* NULL is allowed. */
+/* Frees the evidence and all its records; NULL is allowed. */
 void soak_evidence_destroy(struct soak_evidence *evidence)
 {
 	if (!evidence)
@@ -128,7 +132,11 @@
 	return entry;
 }
 
-/* Adds an engine's journal. A line cut by the engine's end is no line. */
+/*
+ * Adds the entries of an engine's journal. A last line without a newline, which
+ * an engine leaves when it dies while writing, is ignored. Returns false if the
+ * file cannot be read.
+ */
 bool soak_evidence_read_journal(struct soak_evidence *evidence,
 				const char *path, struct error *error)
 {
@@ -170,14 +178,17 @@
 	       (one->begun_us < other->begun_us);
 }
 
-/* Puts what came from many files and callers in the order of time. */
+/*
+ * Sorts the entries, which come from many files, and the attempts, which come
+ * from many callers, by time.
+ */
 void soak_evidence_sort(struct soak_evidence *evidence)
 {
 	g_ptr_array_sort(evidence->entries, entry_order);
 	g_ptr_array_sort(evidence->attempts, attempt_order);
 }
 
-/* The node that listened there then; NULL: none did. */
+/* Returns the run of the node that listened on front at at_us, or NULL. */
 const struct soak_life *
 soak_evidence_life_at(const struct soak_evidence *evidence, const char *front,
 		      int64_t at_us)
--- a/tests/soak/soak_evidence.h
+++ b/tests/soak/soak_evidence.h
@@ -11,9 +11,9 @@
 G_BEGIN_DECLS
 
 /*
- * What a run leaves behind: what callers sent and got, what engines wrote into
- * their journals, and what the soak itself did and when. All times are those
- * of CLOCK_MONOTONIC, in microseconds.
+ * The records of a run: the attempts of the callers with their answers, the
+ * journals of the engines, and the actions of the soak with their times. All
+ * times are of CLOCK_MONOTONIC, in microseconds.
  */
 
 #define SOAK_HOST "reports.example"
@@ -28,19 +28,19 @@
 	SOAK_KINDS
 };
 
-/* One attempt of a caller, with an id of its own. */
+/* One attempt of a caller, with a unique request id. */
 struct soak_attempt {
 	char *id;
 	enum soak_kind kind;
 	char *path;
 	char *front; /* the address it was sent to */
 	int64_t begun_us;
-	int64_t sent_us; /* its last byte; 0: not sent whole */
+	int64_t sent_us; /* of its last byte; 0: not sent completely */
 	int64_t ended_us;
 	int64_t deadline_us;
 	enum soak_end end;
 	struct soak_answer *answer;
-	int32_t version; /* of a probe: the one that added its route */
+	int32_t version; /* of a probe: the version that added its route */
 };
 
 /* A line of an engine's journal. */
@@ -52,23 +52,23 @@
 	bool from_copy;
 };
 
-/* A start of a process until its end. */
+/* One run of a process, from its start to its end. */
 struct soak_life {
 	char name[32];
 	char *front;  /* of a node; NULL: an engine */
 	char *engine; /* id of an engine; NULL: a node */
 	int64_t from_us;
 	int64_t to_us;	 /* 0: until the end of the run */
-	int64_t term_us; /* 0: none was sent */
+	int64_t term_us; /* of SIGTERM; 0: none was sent */
 	bool was_killed; /* by the soak */
-	int status;	 /* once it has ended */
+	int status;	 /* once it has ended; minus the signal if killed */
 	int64_t most_resident_bytes;
 	int64_t most_open_files;
 	int64_t log_bytes;
 	char *log_path;
 };
 
-/* A fault while it lasted, or an operator's work. */
+/* A fault or an operator's action, with the time it lasted. */
 struct soak_disruption {
 	enum soak_fault_kind kind;
 	char who[32]; /* name of a process, "store", "nodes", "operator" */
@@ -76,14 +76,14 @@
 	int64_t to_us; /* 0: until the end of the run */
 };
 
-/* A configuration, from its sending to the store's word for it. */
+/* A configuration, with the times it was sent and acknowledged by the store. */
 struct soak_version {
 	int32_t index;
 	int64_t sent_us;
 	int64_t acked_us;
 };
 
-/* An engine's leaving, as the store accepted it. */
+/* An engine that leaves; the store acknowledged its entry at acked_us. */
 struct soak_leaving {
 	char *engine;
 	int64_t acked_us;
@@ -93,14 +93,14 @@
 	int64_t begun_us;
 	int64_t load_end_us;
 	int64_t ended_us;
-	int64_t unix_offset_us; /* added to a time gives the Unix time */
+	int64_t unix_offset_us; /* Unix time minus CLOCK_MONOTONIC */
 	GPtrArray *attempts;	/* struct soak_attempt */
 	GPtrArray *entries;	/* struct soak_entry, by time */
 	GPtrArray *lives;	/* struct soak_life */
 	GArray *disruptions;	/* struct soak_disruption */
 	GArray *versions;	/* struct soak_version */
 	GArray *leavings;	/* struct soak_leaving */
-	GPtrArray *failures;	/* char *: what the soak itself saw */
+	GPtrArray *failures;	/* char *: found by the soak itself */
 };
 
 struct soak_evidence *soak_evidence_create(void);
--- a/tests/soak/soak_fault.c
+++ b/tests/soak/soak_fault.c
@@ -6,21 +6,24 @@
 #include <string.h>
 
 /*
- * What each kind of fault does to its target, and how it ends. A target that
- * does not run, or that another fault has already, is left alone.
+ * How each kind of fault begins and ends at its target. A target that does not
+ * run, or that another fault already affects, is skipped.
  */
 
 #define STORM_VERSIONS 5
-/* A stop's grace on the pages, and what a busy machine may need beyond it. */
+/* Documented grace of a stop, and slack for a busy machine. */
 #define GRACE_US (8 * G_TIME_SPAN_SECOND)
-#define END_SLACK_US G_TIME_SPAN_SECOND
-/* A killed engine's entry goes after three of its heartbeats of a second. */
-#define SILENT_ENTRY_US (3 * G_TIME_SPAN_SECOND)
-/* Entries that lapsed with the store are back within two of its return. */
-#define LAPSED_US G_TIME_SPAN_SECOND
-/* SIGHUP finds one of two lives of the directory's answers. */
-#define KEEP_S 2
-#define OTHER_KEEP_S 3
+#define GRACE_SLACK_US G_TIME_SPAN_SECOND
+/* A killed engine's entry expires after three missed heartbeats of 1 s. */
+#define ENTRY_EXPIRY_US (3 * G_TIME_SPAN_SECOND)
+/*
+ * Entries that expired during an outage of the store are written again within
+ * two heartbeats of its return.
+ */
+#define REREGISTER_US G_TIME_SPAN_SECOND
+/* Values of address_keep_s between which SIGHUP switches. */
+#define ADDRESS_TTL_S 2
+#define CHANGED_ADDRESS_TTL_S 3
 
 typedef void (*member_action)(struct soak_fleet *fleet,
 			      struct soak_member *member);
@@ -48,9 +51,9 @@
 }
 
 /*
- * Sets switches of an endpoint. One that stands still gets them when it goes
- * on: left out, the end of a fault never came, and the endpoint failed for
- * good.
+ * Sets modes of a fake endpoint. For a paused endpoint they are queued until it
+ * continues: if they were dropped, the end of a fault would be lost, and the
+ * endpoint would fail for the rest of the run.
  */
 static void member_mode(struct soak_fleet *fleet, struct soak_member *member,
 			const char *json)
@@ -68,8 +71,8 @@
 					error.detail);
 }
 
-static void set_waiting_modes(struct soak_fleet *fleet,
-			      struct soak_member *member)
+static void apply_waiting_modes(struct soak_fleet *fleet,
+				struct soak_member *member)
 {
 	g_autoptr(GPtrArray) modes = member->waiting_modes;
 
@@ -85,10 +88,10 @@
 		return;
 	member->is_paused = false;
 	soak_process_signal(member->process, SIGCONT);
-	set_waiting_modes(fleet, member);
+	apply_waiting_modes(fleet, member);
 	if (member->end_by_us)
 		member->end_by_us =
-			g_get_monotonic_time() + GRACE_US + END_SLACK_US;
+			g_get_monotonic_time() + GRACE_US + GRACE_SLACK_US;
 }
 
 static void node_term(struct soak_fleet *fleet, struct soak_member *member)
@@ -97,12 +100,12 @@
 	if (!member->life || member->life->term_us)
 		return;
 	member->life->term_us = g_get_monotonic_time();
-	member->end_by_us = member->life->term_us + GRACE_US + END_SLACK_US;
+	member->end_by_us = member->life->term_us + GRACE_US + GRACE_SLACK_US;
 	soak_process_signal(member->process, SIGTERM);
 }
 
-/* It starts again as soon as it has ended. */
-static void member_return(struct soak_fleet *fleet, struct soak_member *member)
+/* Restarts the member now, or as soon as its process has ended. */
+static void member_restart(struct soak_fleet *fleet, struct soak_member *member)
 {
 	member->start_us = g_get_monotonic_time();
 	soak_fleet_start_member(fleet, member);
@@ -112,19 +115,20 @@
 {
 	if (!member->life)
 		return;
-	soak_fleet_write_settings(fleet, member, OTHER_KEEP_S);
+	soak_fleet_write_settings(fleet, member, CHANGED_ADDRESS_TTL_S);
 	soak_process_signal(member->process, SIGHUP);
 }
 
-static void node_hup_back(struct soak_fleet *fleet, struct soak_member *member)
+static void node_hup_restore(struct soak_fleet *fleet,
+			     struct soak_member *member)
 {
 	if (!member->life)
 		return;
-	soak_fleet_write_settings(fleet, member, KEEP_S);
+	soak_fleet_write_settings(fleet, member, ADDRESS_TTL_S);
 	soak_process_signal(member->process, SIGHUP);
 }
 
-static void drop_silent(struct soak_fleet *fleet, struct soak_member *member)
+static void entry_expire(struct soak_fleet *fleet, struct soak_member *member)
 {
 	if (!member->life)
 		soak_fleet_unregister(fleet, member);
@@ -135,7 +139,7 @@
 	if (!member->life)
 		return;
 	member_kill(fleet, member);
-	soak_fleet_do_later(fleet, SILENT_ENTRY_US, drop_silent, member);
+	soak_fleet_defer(fleet, ENTRY_EXPIRY_US, entry_expire, member);
 }
 
 static void endpoint_replace(struct soak_fleet *fleet,
@@ -145,7 +149,7 @@
 	member->comes_renamed = true;
 }
 
-static void note_leaving(struct soak_fleet *fleet, struct soak_member *member)
+static void record_leaving(struct soak_fleet *fleet, struct soak_member *member)
 {
 	struct soak_leaving row = {.engine = g_strdup(member->id)};
 
@@ -159,7 +163,7 @@
 		return;
 	member->is_leaving = true;
 	soak_fleet_register(fleet, member);
-	note_leaving(fleet, member);
+	record_leaving(fleet, member);
 }
 
 static void endpoint_vanish(struct soak_fleet *fleet,
@@ -169,12 +173,12 @@
 		return;
 	member->is_leaving = true;
 	soak_fleet_unregister(fleet, member);
-	note_leaving(fleet, member);
+	record_leaving(fleet, member);
 }
 
-/* It has left; another one takes its place. */
-static void endpoint_succeed(struct soak_fleet *fleet,
-			     struct soak_member *member)
+/* Kills an endpoint that has left, and starts one with a new id instead. */
+static void endpoint_start_successor(struct soak_fleet *fleet,
+				     struct soak_member *member)
 {
 	if (!member->is_leaving)
 		return;
@@ -182,7 +186,7 @@
 	soak_fleet_start_member(fleet, member);
 }
 
-static void all_do(struct soak_fleet *fleet, member_action action)
+static void nodes_apply(struct soak_fleet *fleet, member_action action)
 {
 	for (guint i = 0; i < fleet->nodes->len; i++)
 		action(fleet, g_ptr_array_index(fleet->nodes, i));
@@ -197,43 +201,48 @@
 					error.detail);
 }
 
-static void entry_return(struct soak_fleet *fleet, struct soak_member *member)
+static void entry_restore(struct soak_fleet *fleet, struct soak_member *member)
 {
 	if (!member->is_leaving)
 		soak_fleet_register(fleet, member);
 }
 
-static void entries_return(struct soak_fleet *fleet)
+static void entries_restore(struct soak_fleet *fleet)
 {
 	for (guint i = 0; i < fleet->endpoints->len; i++)
-		soak_fleet_do_later(fleet, LAPSED_US, entry_return,
-				    g_ptr_array_index(fleet->endpoints, i));
+		soak_fleet_defer(fleet, REREGISTER_US, entry_restore,
+				 g_ptr_array_index(fleet->endpoints, i));
 }
 
-/* A byte each so often, and what a slow link takes. */
+/*
+ * The interval between the bytes of a trickle, the delay of a slow link, and
+ * the idle time before a stray answer.
+ */
 #define TRICKLE_US (2 * G_TIME_SPAN_MILLISECOND)
 #define DELAY_US (300 * G_TIME_SPAN_MILLISECOND)
-#define REST_US (50 * G_TIME_SPAN_MILLISECOND)
+#define STRAY_IDLE_US (50 * G_TIME_SPAN_MILLISECOND)
 
 static const struct {
 	member_action begin;
 	member_action end;
-	const char *mode;      /* of a stand-in while it lasts, if not NULL */
-	const char *calm;      /* and after it */
-	struct soak_link link; /* of a way while it lasts */
+	const char *mode;      /* set in a fake at the start, if not NULL */
+	const char *end_mode;  /* set in it at the end, if not NULL */
+	struct soak_link link; /* set in a proxy while the fault lasts */
 } actions[SOAK_FAULT_KINDS] = {
-	[SOAK_NODE_KILL] = {member_kill, member_return, NULL, NULL},
-	[SOAK_NODE_RENAME] = {node_rename, member_return, NULL, NULL},
+	[SOAK_NODE_KILL] = {member_kill, member_restart, NULL, NULL},
+	[SOAK_NODE_RENAME] = {node_rename, member_restart, NULL, NULL},
 	[SOAK_NODE_PAUSE_SHORT] = {member_pause, member_continue, NULL, NULL},
 	[SOAK_NODE_PAUSE_LONG] = {member_pause, member_continue, NULL, NULL},
-	[SOAK_NODE_TERM] = {node_term, member_return, NULL, NULL},
-	[SOAK_NODE_HUP] = {node_hup, node_hup_back, NULL, NULL},
-	[SOAK_NODE_KILL_ALL] = {member_kill, member_return, NULL, NULL},
-	[SOAK_ENGINE_KILL] = {endpoint_kill, member_return, NULL, NULL},
-	[SOAK_ENGINE_REPLACE] = {endpoint_replace, member_return, NULL, NULL},
+	[SOAK_NODE_TERM] = {node_term, member_restart, NULL, NULL},
+	[SOAK_NODE_HUP] = {node_hup, node_hup_restore, NULL, NULL},
+	[SOAK_NODE_KILL_ALL] = {member_kill, member_restart, NULL, NULL},
+	[SOAK_ENGINE_KILL] = {endpoint_kill, member_restart, NULL, NULL},
+	[SOAK_ENGINE_REPLACE] = {endpoint_replace, member_restart, NULL, NULL},
 	[SOAK_ENGINE_PAUSE] = {member_pause, member_continue, NULL, NULL},
-	[SOAK_ENGINE_LEAVE] = {endpoint_leave, endpoint_succeed, NULL, NULL},
-	[SOAK_ENGINE_VANISH] = {endpoint_vanish, endpoint_succeed, NULL, NULL},
+	[SOAK_ENGINE_LEAVE] = {endpoint_leave, endpoint_start_successor, NULL,
+			       NULL},
+	[SOAK_ENGINE_VANISH] = {endpoint_vanish, endpoint_start_successor, NULL,
+				NULL},
 	[SOAK_ENGINE_FULL] = {NULL, NULL, "{\"full\":true}",
 			      "{\"full\":false}"},
 	[SOAK_ENGINE_RESET] = {NULL, NULL, "{\"crashing\":true}",
@@ -246,11 +255,12 @@
 			      "{\"answer_delay_ms\":0}"},
 	[SOAK_PLAIN_SLOW] = {NULL, NULL, "{\"answer_delay_ms\":2000}",
 			     "{\"answer_delay_ms\":30}"},
-	[SOAK_PLAIN_KILL] = {endpoint_kill, member_return, NULL, NULL},
+	[SOAK_PLAIN_KILL] = {endpoint_kill, member_restart, NULL, NULL},
 	[SOAK_PLAIN_FAIL] = {NULL, NULL, "{\"failing\":true}",
 			     "{\"failing\":false}"},
 	[SOAK_PLAIN_PAUSE] = {member_pause, member_continue, NULL, NULL},
-	[SOAK_PLAIN_LEAVE] = {endpoint_leave, endpoint_succeed, NULL, NULL},
+	[SOAK_PLAIN_LEAVE] = {endpoint_leave, endpoint_start_successor, NULL,
+			      NULL},
 	[SOAK_STORE_DOWN] = {NULL, NULL, "{\"down\":true}", "{\"down\":false}"},
 	[SOAK_STORE_SILENT] = {NULL, NULL, "{\"silent\":true}",
 			       "{\"silent\":false}"},
@@ -278,11 +288,11 @@
 	[SOAK_PLAIN_LINK_RESET] = {.link = {SOAK_LINK_RESET, 0}},
 	[SOAK_PLAIN_LINK_CUT_BACK] = {.link = {SOAK_LINK_CUT_BACK, 0}},
 	[SOAK_PLAIN_LINK_TRICKLE] = {.link = {SOAK_LINK_TRICKLE, TRICKLE_US}},
-	[SOAK_PLAIN_LINK_EXTRA] = {.link = {SOAK_LINK_EXTRA, REST_US}},
+	[SOAK_PLAIN_LINK_EXTRA] = {.link = {SOAK_LINK_EXTRA, STRAY_IDLE_US}},
 };
 
-static struct soak_member *target_of(struct soak_fleet *fleet,
-				     const struct soak_fault *fault)
+static struct soak_member *fault_target(struct soak_fleet *fleet,
+					const struct soak_fault *fault)
 {
 	switch (soak_fault_type_at(fault->kind)->target) {
 	case SOAK_TARGET_NODE:
@@ -298,10 +308,10 @@
 	}
 }
 
-static const char *who_of(struct soak_fleet *fleet,
-			  const struct soak_fault *fault)
+static const char *fault_target_name(struct soak_fleet *fleet,
+				     const struct soak_fault *fault)
 {
-	const struct soak_member *member = target_of(fleet, fault);
+	const struct soak_member *member = fault_target(fleet, fault);
 
 	if (member)
 		return member->name;
@@ -319,7 +329,7 @@
 			const struct soak_fault *fault, member_action action,
 			const char *mode)
 {
-	struct soak_member *member = target_of(fleet, fault);
+	struct soak_member *member = fault_target(fleet, fault);
 	enum soak_target target = soak_fault_type_at(fault->kind)->target;
 
 	if (member && action)
@@ -327,16 +337,16 @@
 	else if (member && mode)
 		member_mode(fleet, member, mode);
 	else if (target == SOAK_TARGET_ALL_NODES && action)
-		all_do(fleet, action);
+		nodes_apply(fleet, action);
 	else if (target == SOAK_TARGET_STORE && mode)
 		store_mode(fleet, mode);
 }
 
-/* The way that a fault of a link harms; NULL: it harms none. */
-static struct soak_proxy *way_of(struct soak_fleet *fleet,
-				 const struct soak_fault *fault)
+/* The proxy of the link that a fault affects; NULL: it affects no link. */
+static struct soak_proxy *fault_proxy(struct soak_fleet *fleet,
+				      const struct soak_fault *fault)
 {
-	const struct soak_member *member = target_of(fleet, fault);
+	const struct soak_member *member = fault_target(fleet, fault);
 
 	if (!soak_fault_type_at(fault->kind)->is_link || !member)
 		return NULL;
@@ -344,31 +354,33 @@
 							    : member->way;
 }
 
-static void way_set(struct soak_proxy *way, const struct soak_link *link)
+static void proxy_set(struct soak_proxy *proxy, const struct soak_link *link)
 {
-	if (way)
-		soak_proxy_set(way, link);
+	if (proxy)
+		soak_proxy_set(proxy, link);
 }
 
-/* The store knows a node by where its connections come from. */
-static void store_refuse(struct soak_fleet *fleet, const struct soak_proxy *way)
+/* The fake store identifies a node by the source of its connections. */
+static void store_refuse_source(struct soak_fleet *fleet,
+				const struct soak_proxy *proxy)
 {
 	g_autofree char *json =
 		g_strdup_printf("{\"refused\":\"%s\",\"refusal\":\"reset\"}",
-				soak_proxy_source(way));
+				soak_proxy_source(proxy));
 
 	store_mode(fleet, json);
 }
 
-/* Brings a fault in. */
+/* Begins a fault and records it. */
 void soak_fleet_begin(struct soak_fleet *fleet, const struct soak_fault *fault)
 {
-	soak_fleet_disturb(fleet, fault->kind, who_of(fleet, fault));
+	soak_fleet_record_fault(fleet, fault->kind,
+				fault_target_name(fleet, fault));
 	fault_apply(fleet, fault, actions[fault->kind].begin,
 		    actions[fault->kind].mode);
-	way_set(way_of(fleet, fault), &actions[fault->kind].link);
+	proxy_set(fault_proxy(fleet, fault), &actions[fault->kind].link);
 	if (fault->kind == SOAK_STORE_REFUSES)
-		store_refuse(fleet, way_of(fleet, fault));
+		store_refuse_source(fleet, fault_proxy(fleet, fault));
 	if (fault->kind == SOAK_CONFIG)
 		soak_fleet_configure(fleet);
 	for (int i = 0; fault->kind == SOAK_CONFIG_STORM && i < STORM_VERSIONS;
@@ -376,17 +388,18 @@
 		soak_fleet_configure(fleet);
 }
 
-/* Takes it back. */
+/* Ends a fault and records its end. */
 void soak_fleet_end(struct soak_fleet *fleet, const struct soak_fault *fault)
 {
-	static const struct soak_link sound = {SOAK_LINK_SOUND, 0};
+	static const struct soak_link normal = {SOAK_LINK_SOUND, 0};
 
 	fault_apply(fleet, fault, actions[fault->kind].end,
-		    actions[fault->kind].calm);
-	way_set(way_of(fleet, fault), &sound);
+		    actions[fault->kind].end_mode);
+	proxy_set(fault_proxy(fleet, fault), &normal);
 	if (fault->kind == SOAK_STORE_REFUSES)
 		store_mode(fleet, "{\"refused\":\"\"}");
 	if (fault->kind == SOAK_STORE_LAPSE)
-		entries_return(fleet);
-	soak_fleet_calm(fleet, fault->kind, who_of(fleet, fault));
+		entries_restore(fleet);
+	soak_fleet_record_fault_end(fleet, fault->kind,
+				    fault_target_name(fleet, fault));
 }
--- a/tests/soak/soak_fleet.c
+++ b/tests/soak/soak_fleet.c
@@ -8,12 +8,15 @@
 #include <unistd.h>
 
 #define MS_US G_TIME_SPAN_MILLISECOND
-/* An engine that a request crashed is back after some seconds. */
-#define CRASHED_AWAY_US (2 * G_TIME_SPAN_SECOND)
+/* An endpoint that a request crashed is restarted after two seconds. */
+#define CRASH_RESTART_US (2 * G_TIME_SPAN_SECOND)
 #define SAMPLE_US (500 * MS_US)
 #define TERM_WAIT_US (10 * G_TIME_SPAN_SECOND)
 
-/* Nothing runs yet. */
+/*
+ * Starts no process yet. The schedule, the view, the evidence and the strings
+ * of paths must outlive the fleet.
+ */
 struct soak_fleet *soak_fleet_create(const struct soak_schedule *schedule,
 				     const struct soak_fleet_paths *paths,
 				     struct soak_view *view,
@@ -28,25 +31,26 @@
 	fleet->version = -1;
 	fleet->nodes = g_ptr_array_new_with_free_func(soak_member_destroy);
 	fleet->endpoints = g_ptr_array_new_with_free_func(soak_member_destroy);
-	fleet->later = g_array_new(FALSE, TRUE, sizeof(struct soak_later));
+	fleet->deferred =
+		g_array_new(FALSE, TRUE, sizeof(struct soak_deferred));
 	fleet->store = soak_process_create(paths->folder, "store");
 	return fleet;
 }
 
-/* Kills what still runs; NULL is allowed. */
+/* Kills the processes that still run; NULL is allowed. */
 void soak_fleet_destroy(struct soak_fleet *fleet)
 {
 	if (!fleet)
 		return;
 	g_ptr_array_unref(fleet->nodes);
 	g_ptr_array_unref(fleet->endpoints);
-	g_array_unref(fleet->later);
+	g_array_unref(fleet->deferred);
 	soak_process_destroy(fleet->store);
-	g_clear_object(&fleet->lock);
+	g_clear_object(&fleet->range_lock);
 	g_free(fleet);
 }
 
-/* Something that the soak itself saw, a find. */
+/* Records a failure that the soak itself found. */
 void soak_fleet_note_failure(struct soak_fleet *fleet, const char *format, ...)
 {
 	va_list arguments;
@@ -57,9 +61,9 @@
 	va_end(arguments);
 }
 
-/* A fault begins at somebody. */
-void soak_fleet_disturb(struct soak_fleet *fleet, enum soak_fault_kind kind,
-			const char *who)
+/* Records that a fault begins at the process or party named who. */
+void soak_fleet_record_fault(struct soak_fleet *fleet,
+			     enum soak_fault_kind kind, const char *who)
 {
 	struct soak_disruption row = {.kind = kind};
 
@@ -68,9 +72,9 @@
 	g_array_append_val(fleet->evidence->disruptions, row);
 }
 
-/* It has ended; the last one of that kind there, if any. */
-void soak_fleet_calm(struct soak_fleet *fleet, enum soak_fault_kind kind,
-		     const char *who)
+/* Records the end of the last open fault of that kind at who, if any. */
+void soak_fleet_record_fault_end(struct soak_fleet *fleet,
+				 enum soak_fault_kind kind, const char *who)
 {
 	GArray *rows = fleet->evidence->disruptions;
 
@@ -86,25 +90,28 @@
 	}
 }
 
-/* Has run called for the member after that time, if it is the same then. */
-void soak_fleet_do_later(struct soak_fleet *fleet, int64_t after_us,
-			 void (*run)(struct soak_fleet *, struct soak_member *),
-			 struct soak_member *member)
+/*
+ * Calls run for the member in after_us microseconds, unless the member has
+ * another id by then.
+ */
+void soak_fleet_defer(struct soak_fleet *fleet, int64_t after_us,
+		      void (*run)(struct soak_fleet *, struct soak_member *),
+		      struct soak_member *member)
 {
-	struct soak_later later = {.run = run, .member = member};
+	struct soak_deferred deferred = {.run = run, .member = member};
 
-	later.at_us = g_get_monotonic_time() + after_us;
-	g_strlcpy(later.id, member->id, sizeof(later.id));
-	g_array_append_val(fleet->later, later);
+	deferred.at_us = g_get_monotonic_time() + after_us;
+	g_strlcpy(deferred.id, member->id, sizeof(deferred.id));
+	g_array_append_val(fleet->deferred, deferred);
 }
 
-static void member_has_ended(struct soak_fleet *fleet,
-			     struct soak_member *member,
-			     const struct soak_life *life)
+static void member_handle_end(struct soak_fleet *fleet,
+			      struct soak_member *member,
+			      const struct soak_life *life)
 {
 	if (member->role != SOAK_ROLE_NODE) {
-		soak_fleet_disturb(fleet, SOAK_POISON, member->name);
-		member->start_us = g_get_monotonic_time() + CRASHED_AWAY_US;
+		soak_fleet_record_fault(fleet, SOAK_POISON, member->name);
+		member->start_us = g_get_monotonic_time() + CRASH_RESTART_US;
 		return;
 	}
 	if (!life->term_us) {
@@ -125,7 +132,7 @@
 	struct soak_life *life = member->life;
 
 	if (soak_member_end_life(member))
-		member_has_ended(fleet, member, life);
+		member_handle_end(fleet, member, life);
 	if (member->life && member->end_by_us && now_us >= member->end_by_us) {
 		soak_fleet_note_failure(
 			fleet, "%s still runs past its grace after SIGTERM",
@@ -150,29 +157,33 @@
 	}
 }
 
-static void later_run(struct soak_fleet *fleet, const struct soak_later *later)
+static void deferred_run(struct soak_fleet *fleet,
+			 const struct soak_deferred *deferred)
 {
-	if (later->run && strcmp(later->id, later->member->id) == 0)
-		later->run(fleet, later->member);
+	if (deferred->run && strcmp(deferred->id, deferred->member->id) == 0)
+		deferred->run(fleet, deferred->member);
 }
 
-static gboolean on_waited(gpointer data)
+static gboolean on_timeout(gpointer data)
 {
 	*(bool *)data = true;
 	return G_SOURCE_REMOVE;
 }
 
-/* Lets the proxies work for that long: they run in this thread. */
+/* Runs the main loop, and with it the proxies, for for_us microseconds. */
 void soak_fleet_wait(int64_t for_us)
 {
 	bool is_over = false;
 
-	g_timeout_add((guint)(for_us / MS_US), on_waited, &is_over);
+	g_timeout_add((guint)(for_us / MS_US), on_timeout, &is_over);
 	while (!is_over)
 		g_main_context_iteration(NULL, TRUE);
 }
 
-/* What is due now: starts, ends, entries. Called every few ms. */
+/*
+ * Handles ended processes, and runs the starts and deferred actions that are
+ * due. The run calls it every few ms.
+ */
 void soak_fleet_tick(struct soak_fleet *fleet)
 {
 	int64_t now_us = g_get_monotonic_time();
@@ -182,18 +193,18 @@
 		fleet->sampled_us = now_us;
 	members_tick(fleet, fleet->nodes, samples);
 	members_tick(fleet, fleet->endpoints, samples);
-	for (guint i = fleet->later->len; i-- > 0;) {
-		struct soak_later later =
-			g_array_index(fleet->later, struct soak_later, i);
+	for (guint i = fleet->deferred->len; i-- > 0;) {
+		struct soak_deferred deferred =
+			g_array_index(fleet->deferred, struct soak_deferred, i);
 
-		if (now_us < later.at_us)
+		if (now_us < deferred.at_us)
 			continue;
-		g_array_remove_index(fleet->later, i);
-		later_run(fleet, &later);
+		g_array_remove_index(fleet->deferred, i);
+		deferred_run(fleet, &deferred);
 	}
 }
 
-static bool members_are_whole(const GPtrArray *members)
+static bool members_are_running(const GPtrArray *members)
 {
 	for (guint i = 0; i < members->len; i++) {
 		const struct soak_member *member =
@@ -206,11 +217,11 @@
 	return true;
 }
 
-/* Whether everybody runs, and nothing is left to be done. */
+/* Whether all members run normally and no deferred action is pending. */
 bool soak_fleet_is_whole(const struct soak_fleet *fleet)
 {
-	return fleet->later->len == 0 && members_are_whole(fleet->nodes) &&
-	       members_are_whole(fleet->endpoints);
+	return fleet->deferred->len == 0 && members_are_running(fleet->nodes) &&
+	       members_are_running(fleet->endpoints);
 }
 
 static void members_stop(const GPtrArray *members)
@@ -248,7 +259,7 @@
 	}
 }
 
-/* Ends all processes, the nodes first, and reads the engines' journals. */
+/* Ends all processes, the nodes first, and reads the endpoints' journals. */
 void soak_fleet_stop(struct soak_fleet *fleet)
 {
 	members_stop(fleet->nodes);
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -12,13 +12,13 @@
 G_BEGIN_DECLS
 
 /*
- * All processes of a run: the stand-ins of the platform, and the nodes. Faults
- * are brought in and taken back here; everything is noted in the evidence.
+ * All processes of a run: the fakes of the platform, and the nodes. Begins and
+ * ends the faults at them, and records both in the evidence.
  */
 struct soak_fleet;
 
 struct soak_fleet_paths {
-	const char *programs; /* folder */
+	const char *programs; /* folder of the executables */
 	const char *folder;   /* for logs, settings and journals */
 };
 
--- a/tests/soak/soak_fleet_start.c
+++ b/tests/soak/soak_fleet_start.c
@@ -5,26 +5,32 @@
 #include <inttypes.h>
 #include <unistd.h>
 
-/* Addresses, settings and starts of the processes of a run. */
+/* Assigns addresses, writes settings and starts the processes of a run. */
 
 #define STEP_FLEET "soak.fleet"
-#define READY_US (10 * G_TIME_SPAN_SECOND)
-/* From an engine's start until it has registered itself. */
-#define REGISTER_US (200 * G_TIME_SPAN_MILLISECOND)
-/* A plain endpoint's work, so that faults meet it: the sheets say 30 ms. */
+#define READY_TIMEOUT_US (10 * G_TIME_SPAN_SECOND)
+/* From the start of an endpoint until it registers itself. */
+#define REGISTER_DELAY_US (200 * G_TIME_SPAN_MILLISECOND)
+/*
+ * Documented processing time of a plain endpoint, 30 ms: long enough for faults
+ * to occur during it.
+ */
 #define PLAIN_WORK_MS "30"
-/* Ranges 127.N.0.0 that runs at the same time choose from. */
+/* Concurrent runs each reserve one of the ranges 127.N.0.0/16. */
 #define FIRST_RANGE 10
 #define RANGES 200
 #define LOCK_PORT 20001
 #define HOSTS_IN_RANGE 250
 #define STORE_PORT 8090
 #define SEEDS 3
-/* Of the smaller deployment: grace_s, budget_ratio, budget_extra. */
+/* grace_s, budget_ratio and budget_extra of the smaller deployment. */
 #define SETTINGS_GATEWAY "drain_s = 8\nretry_ratio = 0.2\nretry_extra = 54\n"
 
-/* A range of loopback addresses that no other run uses. */
-static bool fleet_take_range(struct soak_fleet *fleet, struct error *error)
+/*
+ * Reserves a range of loopback addresses that no other run uses, by listening
+ * on a port of it.
+ */
+static bool fleet_reserve_range(struct soak_fleet *fleet, struct error *error)
 {
 	for (int32_t i = 0; i < RANGES; i++) {
 		int32_t range = FIRST_RANGE + (getpid() + i) % RANGES;
@@ -38,7 +44,7 @@
 		if (!socket || !g_socket_bind(socket, address, FALSE, NULL) ||
 		    !g_socket_listen(socket, NULL))
 			continue;
-		fleet->lock = g_steal_pointer(&socket);
+		fleet->range_lock = g_steal_pointer(&socket);
 		fleet->range = range;
 		return true;
 	}
@@ -62,20 +68,25 @@
 	[SOAK_ROLE_PLAIN] = SOAK_TARGET_PLAIN,
 };
 
-/* Proxies stand only on links that the schedule harms. */
+/*
+ * Gives a member a new id and address. It gets a proxy only if the schedule
+ * has faults for its links.
+ */
 bool soak_fleet_rename(struct soak_fleet *fleet, struct soak_member *member,
 		       struct error *error)
 {
-	bool has_way = soak_schedule_has_links(fleet->schedule,
-					       targets[member->role], false);
+	bool has_proxy = soak_schedule_has_links(fleet->schedule,
+						 targets[member->role], false);
 	char ip[32];
 
 	fleet_next_ip(fleet, ip, sizeof(ip));
-	return soak_member_rename(member, fleet->renames++, ip, has_way, error);
+	return soak_member_rename(member, fleet->renames++, ip, has_proxy,
+				  error);
 }
 
-static bool fleet_lay_store_way(struct soak_fleet *fleet,
-				struct soak_member *node, struct error *error)
+static bool fleet_create_store_proxy(struct soak_fleet *fleet,
+				     struct soak_member *node,
+				     struct error *error)
 {
 	if (!soak_schedule_has_links(fleet->schedule, SOAK_TARGET_NODE, true))
 		return true;
@@ -83,7 +94,7 @@
 	return node->store_way != NULL;
 }
 
-static char *seeds_of(const struct soak_fleet *fleet)
+static char *seeds_text(const struct soak_fleet *fleet)
 {
 	GString *seeds = g_string_new(NULL);
 
@@ -103,11 +114,15 @@
 	return g_strdup_printf("%s/%s.toml", fleet->paths.folder, node->name);
 }
 
-/* What a node reads at its start, and again at SIGHUP. */
+/*
+ * Writes the settings that a node reads at its start and at SIGHUP, with keep_s
+ * as address_keep_s. Returns false, after recording the failure, if the file
+ * cannot be written.
+ */
 bool soak_fleet_write_settings(struct soak_fleet *fleet,
 			       const struct soak_member *node, int32_t keep_s)
 {
-	g_autofree char *seeds = seeds_of(fleet);
+	g_autofree char *seeds = seeds_text(fleet);
 	g_autofree char *path = settings_path(fleet, node);
 	g_autofree char *text = g_strdup_printf(
 		"[node]\nname = \"%s\"\nregion = \"r\"\n"
@@ -145,7 +160,10 @@
 	return soak_member_begin_life(node, argv, fleet->evidence, error);
 }
 
-/* Where an endpoint writes what it does, over all its starts. */
+/*
+ * Returns the path of an endpoint's journal, to which all its runs append; the
+ * caller frees it.
+ */
 char *soak_fleet_journal_path(const struct soak_fleet *fleet,
 			      const struct soak_member *member)
 {
@@ -175,7 +193,7 @@
 	return soak_member_begin_life(member, argv, fleet->evidence, error);
 }
 
-/* An endpoint writes its entry, as one does after its start. */
+/* Writes an endpoint's entry to the store, unless it is paused or has ended. */
 void soak_fleet_register(struct soak_fleet *fleet, struct soak_member *member)
 {
 	g_autofree char *key = g_strdup_printf("servers/%s", member->id);
@@ -191,7 +209,10 @@
 					error.detail);
 }
 
-/* Its entry goes, as an engine's that is silent or has left. */
+/*
+ * Removes an endpoint's entry from the store, as it happens to an engine that
+ * is silent or has left.
+ */
 void soak_fleet_unregister(struct soak_fleet *fleet, struct soak_member *member)
 {
 	g_autofree char *key = g_strdup_printf("servers/%s", member->id);
@@ -202,7 +223,10 @@
 					error.detail);
 }
 
-/* Starts a member again, under a new name and address if that is due. */
+/*
+ * Starts a member that does not run, under a new id and address if it is to be
+ * renamed or has left. Records a failure if the start fails.
+ */
 void soak_fleet_start_member(struct soak_fleet *fleet,
 			     struct soak_member *member)
 {
@@ -225,11 +249,11 @@
 		return;
 	}
 	if (!is_node)
-		soak_fleet_do_later(fleet, REGISTER_US, soak_fleet_register,
-				    member);
+		soak_fleet_defer(fleet, REGISTER_DELAY_US, soak_fleet_register,
+				 member);
 }
 
-/* The operator writes the next configuration. */
+/* Writes the next version of the configuration to the store, and records it. */
 void soak_fleet_configure(struct soak_fleet *fleet)
 {
 	g_autofree char *document = soak_platform_document(++fleet->version);
@@ -256,8 +280,8 @@
 	g_snprintf(fleet->store_address, sizeof(fleet->store_address), "%s:%d",
 		   ip, STORE_PORT);
 	return soak_process_start(fleet->store, argv, error) &&
-	       soak_process_await_line(fleet->store, "listening ", READY_US,
-				       error);
+	       soak_process_await_line(fleet->store, "listening ",
+				       READY_TIMEOUT_US, error);
 }
 
 static bool fleet_add(struct soak_fleet *fleet, GPtrArray *list,
@@ -270,7 +294,7 @@
 		g_ptr_array_add(list, member);
 		if (!soak_fleet_rename(fleet, member, error) ||
 		    (role == SOAK_ROLE_NODE &&
-		     !fleet_lay_store_way(fleet, member, error)))
+		     !fleet_create_store_proxy(fleet, member, error)))
 			return false;
 	}
 	return true;
@@ -282,7 +306,7 @@
 		struct soak_member *member = g_ptr_array_index(members, i);
 
 		if (!soak_process_await_line(member->process, "listening ",
-					     READY_US, error))
+					     READY_TIMEOUT_US, error))
 			return false;
 	}
 	return true;
@@ -314,12 +338,13 @@
 	return members_await(fleet->nodes, error);
 }
 
-/* Starts everything and waits until all listen. */
+/* Starts all processes and waits until they listen. */
 bool soak_fleet_start(struct soak_fleet *fleet, struct error *error)
 {
 	const struct soak_schedule *schedule = fleet->schedule;
 
-	if (!fleet_take_range(fleet, error) || !fleet_start_store(fleet, error))
+	if (!fleet_reserve_range(fleet, error) ||
+	    !fleet_start_store(fleet, error))
 		return false;
 	if (!fleet_add(fleet, fleet->endpoints, SOAK_ROLE_ENGINE,
 		       schedule->engines, error) ||
--- a/tests/soak/soak_fleet_state.h
+++ b/tests/soak/soak_fleet_state.h
@@ -9,16 +9,17 @@
 G_BEGIN_DECLS
 
 /*
- * What the parts of the fleet share. soak_fleet.c: what is due, and the end.
- * soak_fleet_start.c: addresses, settings, starts. soak_fault.c: faults.
+ * State shared by the source files of the fleet. soak_fleet.c: ticks, deferred
+ * actions, stop. soak_fleet_start.c: addresses, settings, starts. soak_fault.c:
+ * faults.
  */
 
-/* Something to be done to a member later. */
-struct soak_later {
+/* An action that is deferred for a member. */
+struct soak_deferred {
 	int64_t at_us;
 	void (*run)(struct soak_fleet *fleet, struct soak_member *member);
 	struct soak_member *member;
-	char id[32]; /* it is dropped if the member has another id by then */
+	char id[32]; /* dropped if the member has another id by then */
 };
 
 struct soak_fleet {
@@ -26,7 +27,7 @@
 	struct soak_fleet_paths paths;
 	struct soak_view *view;
 	struct soak_evidence *evidence;
-	GSocket *lock; /* holds the range of addresses */
+	GSocket *range_lock; /* listens to reserve the address range */
 	int32_t range;
 	int32_t last_host;
 	int32_t renames;
@@ -34,20 +35,20 @@
 	char store_address[48];
 	GPtrArray *nodes;     /* struct soak_member */
 	GPtrArray *endpoints; /* struct soak_member: engines, then plain ones */
-	GArray *later;	      /* struct soak_later */
+	GArray *deferred;     /* struct soak_deferred */
 	int32_t version;      /* of the configuration */
 	int64_t sampled_us;
 };
 
 void soak_fleet_note_failure(struct soak_fleet *fleet, const char *format, ...)
 	G_GNUC_PRINTF(2, 3);
-void soak_fleet_disturb(struct soak_fleet *fleet, enum soak_fault_kind kind,
-			const char *who);
-void soak_fleet_calm(struct soak_fleet *fleet, enum soak_fault_kind kind,
-		     const char *who);
-void soak_fleet_do_later(struct soak_fleet *fleet, int64_t after_us,
-			 void (*run)(struct soak_fleet *, struct soak_member *),
-			 struct soak_member *member);
+void soak_fleet_record_fault(struct soak_fleet *fleet,
+			     enum soak_fault_kind kind, const char *who);
+void soak_fleet_record_fault_end(struct soak_fleet *fleet,
+				 enum soak_fault_kind kind, const char *who);
+void soak_fleet_defer(struct soak_fleet *fleet, int64_t after_us,
+		      void (*run)(struct soak_fleet *, struct soak_member *),
+		      struct soak_member *member);
 bool soak_fleet_write_settings(struct soak_fleet *fleet,
 			       const struct soak_member *node, int32_t keep_s);
 void soak_fleet_register(struct soak_fleet *fleet, struct soak_member *member);
