--- a/tests/soak/soak_member.c
+++ b/tests/soak/soak_member.c
@@ -11,7 +11,10 @@
 	[SOAK_ROLE_PLAIN] = "plain",
 };
 
-/* It has no address yet and does not run. */
+/*
+ * Creates a member that has no address and does not run. The caller owns it;
+ * folder receives its logs.
+ */
 struct soak_member *soak_member_create(enum soak_role role, int32_t index,
 				       const char *folder)
 {
@@ -26,7 +29,7 @@
 	return member;
 }
 
-/* Kills its process; NULL is allowed. */
+/* Kills the process and frees the member; NULL is allowed. */
 void soak_member_destroy(gpointer data)
 {
 	struct soak_member *member = data;
@@ -41,11 +44,12 @@
 }
 
 /*
- * A new address and a new id, from its next start on; with has_way others
- * reach it through a proxy.
+ * Sets a new address and a new id for the next start. With has_proxy, other
+ * processes connect to it through a new proxy; returns false and sets error
+ * if that proxy can't be created.
  */
 bool soak_member_rename(struct soak_member *member, int32_t generation,
-			const char *ip, bool has_way, struct error *error)
+			const char *ip, bool has_proxy, struct error *error)
 {
 	g_strlcpy(member->ip, ip, sizeof(member->ip));
 	g_snprintf(member->id, sizeof(member->id), "i-%s%d-%d",
@@ -57,20 +61,23 @@
 		   member->role == SOAK_ROLE_NODE ? FRONT_PORT : ENGINE_PORT);
 	member->is_leaving = false;
 	member->comes_renamed = false;
-	if (!has_way)
+	if (!has_proxy)
 		return true;
 	soak_proxy_destroy(member->way);
 	member->way = soak_proxy_create(member->address, error);
 	return member->way != NULL;
 }
 
-/* Where others connect that mean the member's address. */
+/* Returns the proxy's address, or the member's own if it has no proxy. */
 const char *soak_member_way(const struct soak_member *member)
 {
 	return member->way ? soak_proxy_address(member->way) : member->address;
 }
 
-/* Starts its process and opens the record of this life. */
+/*
+ * Starts the process and opens the record of this life, which evidence owns.
+ * Returns false and sets error if the process can't be started.
+ */
 bool soak_member_begin_life(struct soak_member *member, const char *const *argv,
 			    struct soak_evidence *evidence, struct error *error)
 {
@@ -96,7 +103,7 @@
 	return true;
 }
 
-/* Closes the record if the process has ended; true when it just has. */
+/* Closes the open record if the process has ended; true if it closed one. */
 bool soak_member_end_life(struct soak_member *member)
 {
 	struct soak_life *life = member->life;
@@ -111,7 +118,7 @@
 	return true;
 }
 
-/* Kills it at once; also one that is paused. */
+/* Kills the process with SIGKILL, also while it is paused. */
 void soak_member_kill(struct soak_member *member)
 {
 	if (!member->life)
@@ -121,7 +128,7 @@
 	soak_member_end_life(member);
 }
 
-/* Notes what it uses now, if that is the most so far. */
+/* Samples memory and open files, and keeps the highest values so far. */
 void soak_member_sample(struct soak_member *member)
 {
 	struct soak_life *life = member->life;
--- a/tests/soak/soak_member.h
+++ b/tests/soak/soak_member.h
@@ -13,7 +13,8 @@
 
 /*
  * A node or an endpoint of a run: its process, its names and addresses, and
- * the record of its lives. What a node believes of it is no part of this.
+ * the record of its current life. The state in which nodes see it is not kept
+ * here.
  */
 enum soak_role { SOAK_ROLE_NODE, SOAK_ROLE_ENGINE, SOAK_ROLE_PLAIN };
 
@@ -22,26 +23,26 @@
 	int32_t index;
 	char name[32];
 	char ip[32];
-	char id[32];		/* of an endpoint */
-	char address[48];	/* front of a node, address of an endpoint */
-	struct soak_proxy *way; /* to that address */
-	struct soak_proxy *store_way; /* of a node, to the store */
+	char id[32];		      /* of an endpoint or a node */
+	char address[48];	      /* front of a node, or endpoint address */
+	struct soak_proxy *way;	      /* in front of address; NULL: none */
+	struct soak_proxy *store_way; /* from a node to the store */
 	struct soak_process *process;
-	struct soak_life *life; /* NULL: it does not run */
+	struct soak_life *life; /* NULL: not running */
 	bool is_paused;
-	bool is_leaving;	  /* an endpoint's entry says so, or is gone */
-	bool comes_renamed;	  /* at its next start */
-	GPtrArray *waiting_modes; /* char *: switches for when it goes on */
+	bool is_leaving;	  /* endpoint entry draining or deleted */
+	bool comes_renamed;	  /* new name and address at the next start */
+	GPtrArray *waiting_modes; /* char *: sent once it resumes */
 	int64_t born_ms;
-	int64_t start_us;  /* when it is to start again; 0: not */
-	int64_t end_by_us; /* after SIGTERM it must be gone by then; 0: none */
+	int64_t start_us;  /* time of the next start; 0: none */
+	int64_t end_by_us; /* exit deadline after SIGTERM; 0: none */
 };
 
 struct soak_member *soak_member_create(enum soak_role role, int32_t index,
 				       const char *folder);
 void soak_member_destroy(gpointer member);
 bool soak_member_rename(struct soak_member *member, int32_t generation,
-			const char *ip, bool has_way, struct error *error);
+			const char *ip, bool has_proxy, struct error *error);
 const char *soak_member_way(const struct soak_member *member);
 bool soak_member_begin_life(struct soak_member *member, const char *const *argv,
 			    struct soak_evidence *evidence,
--- a/tests/soak/soak_pipe.c
+++ b/tests/soak/soak_pipe.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-/* As much as a socket holds on a slow link; enough for any request here. */
+/* About what a socket buffers on a slow link; every soak request fits. */
 #define PIPE_BYTES ((size_t)64 * 1024)
 
 struct piece {
@@ -16,12 +16,12 @@
 struct soak_pipe {
 	GQueue pieces; /* struct piece */
 	size_t held_bytes;
-	int64_t last_due_us; /* nothing may overtake what was added before */
+	int64_t last_due_us; /* later pieces are not due earlier */
 	enum soak_pipe_end end;
 	int64_t end_due_us;
 };
 
-/* Empty, its sender still there. */
+/* Creates an empty pipe with an open sender; the caller owns it. */
 struct soak_pipe *soak_pipe_create(void)
 {
 	struct soak_pipe *pipe = g_new0(struct soak_pipe, 1);
@@ -38,7 +38,7 @@
 	g_free(piece);
 }
 
-/* NULL is allowed. */
+/* Frees the pipe and the buffered bytes; NULL is allowed. */
 void soak_pipe_destroy(struct soak_pipe *pipe)
 {
 	if (!pipe)
@@ -47,14 +47,14 @@
 	g_free(pipe);
 }
 
-/* How many bytes it takes in now. */
+/* Returns how many more bytes fit into the pipe. */
 size_t soak_pipe_room(const struct soak_pipe *pipe)
 {
 	return pipe->held_bytes < PIPE_BYTES ? PIPE_BYTES - pipe->held_bytes
 					     : 0;
 }
 
-/* Appends a copy of the bytes; they leave at due_us at the earliest. */
+/* Appends a copy of the bytes, to be sent at due_us at the earliest. */
 void soak_pipe_add(struct soak_pipe *pipe, const char *bytes, size_t size,
 		   int64_t due_us)
 {
@@ -69,8 +69,8 @@
 }
 
 /*
- * The sender has ended; the first word of it holds, but one that had closed may
- * turn out to be gone.
+ * Records how the sender ended. The first call counts, except that a reset
+ * replaces a close: a sender that closed may later prove to be gone.
  */
 void soak_pipe_set_end(struct soak_pipe *pipe, enum soak_pipe_end end,
 		       int64_t due_us)
@@ -82,26 +82,26 @@
 	pipe->end_due_us = MAX(pipe->last_due_us, due_us);
 }
 
-/* Throws away what is held: its receiver is gone. */
+/* Discards the buffered bytes because the receiver is gone. */
 void soak_pipe_discard(struct soak_pipe *pipe)
 {
 	g_queue_clear_full(&pipe->pieces, piece_free);
 	pipe->held_bytes = 0;
 }
 
-/* How the sender has ended, also while bytes of it are still held. */
+/* Returns how the sender ended, also while bytes are still buffered. */
 enum soak_pipe_end soak_pipe_get_end(const struct soak_pipe *pipe)
 {
 	return pipe->end;
 }
 
-/* Whether no bytes are held. */
+/* Returns whether no bytes are buffered. */
 bool soak_pipe_is_empty(const struct soak_pipe *pipe)
 {
 	return g_queue_is_empty((GQueue *)&pipe->pieces);
 }
 
-/* When its next bytes, or its end, may leave; INT64_MAX: there is nothing. */
+/* Returns when the next bytes or the end are due; INT64_MAX: nothing is. */
 int64_t soak_pipe_due_us(const struct soak_pipe *pipe)
 {
 	const struct piece *first = g_queue_peek_head((GQueue *)&pipe->pieces);
@@ -111,7 +111,7 @@
 	return pipe->end == SOAK_PIPE_OPEN ? INT64_MAX : pipe->end_due_us;
 }
 
-/* The next bytes, which stay the pipe's; NULL: none. */
+/* Returns the next bytes, which the pipe owns, or NULL if there are none. */
 const char *soak_pipe_peek(const struct soak_pipe *pipe, size_t *size)
 {
 	const struct piece *first = g_queue_peek_head((GQueue *)&pipe->pieces);
@@ -122,7 +122,7 @@
 	return first->bytes + first->sent;
 }
 
-/* Takes bytes off that soak_pipe_peek gave. */
+/* Removes up to all of the bytes that soak_pipe_peek returned. */
 void soak_pipe_drop(struct soak_pipe *pipe, size_t size)
 {
 	struct piece *first = g_queue_peek_head(&pipe->pieces);
--- a/tests/soak/soak_pipe.h
+++ b/tests/soak/soak_pipe.h
@@ -9,9 +9,10 @@
 G_BEGIN_DECLS
 
 /*
- * One direction of a connection through the proxy: bytes in order, each with
- * the time from which on it may leave, and behind them how the sender ended.
- * Bounded; what doesn't fit is left in the sender's socket.
+ * One direction of a connection through the proxy: buffered bytes in order,
+ * each with the earliest time at which it may be sent, followed by the way in
+ * which the sender ended. The buffer is bounded; bytes that don't fit stay in
+ * the sender's socket.
  */
 struct soak_pipe;
 
--- a/tests/soak/soak_platform.c
+++ b/tests/soak/soak_platform.c
@@ -7,7 +7,7 @@
 
 #define STEP_PLATFORM "soak.platform"
 #define CALL_US (2 * G_TIME_SPAN_SECOND)
-/* Versions of the configuration rise in steps. */
+/* Distance between the version numbers of two configurations. */
 #define VERSION_STEP 3
 
 static bool post(const char *address, const char *path, const char *body,
@@ -41,28 +41,28 @@
 	return post(store, path, text, error);
 }
 
-/* True once the store has accepted it. */
+/* Writes a key; returns true once the store has accepted the write. */
 bool soak_platform_put(const char *store, const char *key, const char *value,
 		       struct error *error)
 {
 	return post_key(store, "/fake/put", key, value, error);
 }
 
-/* True once the store has accepted it. */
+/* Deletes a key; returns true once the store has accepted the deletion. */
 bool soak_platform_delete(const char *store, const char *key,
 			  struct error *error)
 {
 	return post_key(store, "/fake/delete", key, NULL, error);
 }
 
-/* Sets switches of a stand-in. */
+/* Sets modes of a fake; returns false and sets error if it fails. */
 bool soak_platform_mode(const char *address, const char *json,
 			struct error *error)
 {
 	return post(address, "/fake/mode", json, error);
 }
 
-/* What an endpoint says of itself in the store. */
+/* Formats an endpoint's registration in the store; the caller frees it. */
 char *soak_platform_entry(const char *service, const char *address,
 			  bool is_leaving, int64_t born_ms)
 {
@@ -73,7 +73,10 @@
 		service, address, is_leaving ? "draining" : "ready", born_ms);
 }
 
-/* The path prefix of the route that a configuration adds. */
+/*
+ * Returns the path prefix of the route that configuration number index adds;
+ * the caller frees it.
+ */
 char *soak_platform_route(int32_t index)
 {
 	return g_strdup_printf("/p%d/", index);
@@ -93,8 +96,9 @@
 }
 
 /*
- * The configuration of that number. It adds a route of its own, keeps that of
- * the one before it and removes that of the one before.
+ * Formats configuration number index; the caller frees it. It adds a route of
+ * its own, keeps the route that configuration index - 1 added and removes the
+ * one that index - 2 added.
  */
 char *soak_platform_document(int32_t index)
 {
--- a/tests/soak/soak_platform.h
+++ b/tests/soak/soak_platform.h
@@ -9,7 +9,7 @@
 
 G_BEGIN_DECLS
 
-/* What the operator, the engines and the soak write to the stand-ins. */
+/* Writes of the operator, the engines and the soak to the fakes. */
 
 bool soak_platform_put(const char *store, const char *key, const char *value,
 		       struct error *error);
--- a/tests/soak/soak_process.c
+++ b/tests/soak/soak_process.c
@@ -14,10 +14,10 @@
 	char *name;
 	char *log_path;
 	GSubprocess *child;
-	int32_t starts;
+	int32_t start_count;
 };
 
-/* Not started yet; its logs will be in the folder, one for each start. */
+/* Creates a process without starting it; folder gets one log per start. */
 struct soak_process *soak_process_create(const char *folder, const char *name)
 {
 	struct soak_process *process = g_new0(struct soak_process, 1);
@@ -27,7 +27,7 @@
 	return process;
 }
 
-/* Kills it if it runs; NULL is allowed. */
+/* Kills the process if it runs and frees it; NULL is allowed. */
 void soak_process_destroy(struct soak_process *process)
 {
 	if (!process)
@@ -40,14 +40,14 @@
 	g_free(process);
 }
 
-/* Runs in the child: a soak that is killed leaves nobody behind. */
+/* Runs in the child, so that a killed soak leaves no processes behind. */
 static void on_child_setup(gpointer data)
 {
 	(void)data;
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 }
 
-/* Starts it, again perhaps; standard output and error go to a new log. */
+/* Starts or restarts it; standard output and error go to a new log. */
 bool soak_process_start(struct soak_process *process, const char *const *argv,
 			struct error *error)
 {
@@ -56,8 +56,9 @@
 	g_autoptr(GError) failure = NULL;
 
 	g_free(process->log_path);
-	process->log_path = g_strdup_printf("%s/%s.%d.log", process->folder,
-					    process->name, process->starts++);
+	process->log_path =
+		g_strdup_printf("%s/%s.%d.log", process->folder, process->name,
+				process->start_count++);
 	g_subprocess_launcher_set_stdout_file_path(launcher, process->log_path);
 	g_subprocess_launcher_set_flags(launcher,
 					G_SUBPROCESS_FLAGS_STDERR_MERGE);
@@ -72,7 +73,10 @@
 	return false;
 }
 
-/* Waits for a line of its log that begins so. */
+/*
+ * Waits until a line of the current log begins with start. Returns false and
+ * sets error if the process ends or the timeout expires first.
+ */
 bool soak_process_await_line(struct soak_process *process, const char *start,
 			     int64_t timeout_us, struct error *error)
 {
@@ -94,20 +98,20 @@
 	return false;
 }
 
-/* False before its start and as soon as it has ended. */
+/* Returns false before the first start and once the process has ended. */
 bool soak_process_is_running(const struct soak_process *process)
 {
 	return process->child && g_subprocess_get_identifier(process->child);
 }
 
-/* Sends a signal; one that has ended gets none. */
+/* Sends a signal, unless the process does not run. */
 void soak_process_signal(struct soak_process *process, int number)
 {
 	if (soak_process_is_running(process))
 		g_subprocess_send_signal(process->child, number);
 }
 
-/* Kills it and waits until it is gone. */
+/* Kills the process and waits until it has ended. */
 void soak_process_kill(struct soak_process *process)
 {
 	soak_process_signal(process, SIGKILL);
@@ -115,7 +119,10 @@
 		g_subprocess_wait(process->child, NULL, NULL);
 }
 
-/* Its exit status, or minus the signal that ended it; it must have ended. */
+/*
+ * Returns the exit status, or the negated number of the signal that ended the
+ * process, which must have ended.
+ */
 int soak_process_status(const struct soak_process *process)
 {
 	if (g_subprocess_get_if_exited(process->child))
@@ -123,7 +130,7 @@
 	return -g_subprocess_get_term_sig(process->child);
 }
 
-/* 0 if it does not run. */
+/* Returns the process id; 0 if it does not run. */
 pid_t soak_process_id(const struct soak_process *process)
 {
 	const char *id = process->child
@@ -133,13 +140,13 @@
 	return id ? (pid_t)g_ascii_strtoll(id, NULL, 10) : 0;
 }
 
-/* The log of the last start. */
+/* Returns the log path of the last start, which the process owns. */
 const char *soak_process_log_path(const struct soak_process *process)
 {
 	return process->log_path;
 }
 
-/* Memory it has in use; 0 when it does not run. */
+/* Returns the resident memory in bytes; 0 if it does not run. */
 int64_t soak_process_resident_bytes(const struct soak_process *process)
 {
 	g_autofree char *path =
@@ -155,7 +162,7 @@
 		     : 0;
 }
 
-/* Descriptors it has open; 0 when it does not run. */
+/* Returns the number of open file descriptors; 0 if it does not run. */
 int64_t soak_process_open_files(const struct soak_process *process)
 {
 	g_autofree char *path =
@@ -168,7 +175,7 @@
 	return count;
 }
 
-/* What its last start has written so far. */
+/* Returns the current size of the log of the last start. */
 int64_t soak_process_log_bytes(const struct soak_process *process)
 {
 	GStatBuf status;
--- a/tests/soak/soak_process.h
+++ b/tests/soak/soak_process.h
@@ -11,8 +11,8 @@
 G_BEGIN_DECLS
 
 /*
- * One program that the soak starts, perhaps several times. It gets signals by
- * its own id only, and ends with the soak, however the soak ends.
+ * A program that the soak can start several times. Signals go only to its own
+ * process id. The kernel kills it when the soak ends for any reason.
  */
 struct soak_process;
 
--- a/tests/soak/soak_proxy.c
+++ b/tests/soak/soak_proxy.c
@@ -11,13 +11,13 @@
 	struct soak_listener *listener;
 	char *address;
 	char *source_text;
-	GSocketAddress *source; /* of its connections to the target */
+	GSocketAddress *source; /* bound by connections to target */
 	GSocketAddress *target;
 	struct soak_link link;
 	GPtrArray *connections; /* struct soak_connection */
 };
 
-/* IP:PORT; NULL: it isn't. */
+/* Parses IP:PORT; returns NULL if the text is invalid. */
 static GSocketAddress *address_parse(const char *text)
 {
 	g_autofree char *host = g_strdup(text);
@@ -57,10 +57,10 @@
 }
 
 /*
- * The party behind the proxy can tell callers apart by their addresses: each
- * proxy connects from an address of its own, made of its port.
+ * Each proxy connects from a source address of its own, derived from its port,
+ * so that the target can distinguish its clients by their addresses.
  */
-static void proxy_name(struct soak_proxy *proxy, guint16 port)
+static void proxy_set_addresses(struct soak_proxy *proxy, guint16 port)
 {
 	proxy->address = g_strdup_printf("127.0.0.1:%u", port);
 	proxy->source_text =
@@ -69,7 +69,7 @@
 		g_inet_socket_address_new_from_string(proxy->source_text, 0);
 }
 
-/* Listens on a free port of 127.0.0.1; NULL: the error says why. */
+/* Listens on a free port of 127.0.0.1; returns NULL and sets error. */
 struct soak_proxy *soak_proxy_create(const char *target, struct error *error)
 {
 	struct soak_proxy *proxy = g_new0(struct soak_proxy, 1);
@@ -84,11 +84,11 @@
 		soak_proxy_destroy(proxy);
 		return NULL;
 	}
-	proxy_name(proxy, soak_listener_port(proxy->listener));
+	proxy_set_addresses(proxy, soak_listener_port(proxy->listener));
 	return proxy;
 }
 
-/* Closes all connections; NULL is allowed. */
+/* Closes all connections and frees the proxy; NULL is allowed. */
 void soak_proxy_destroy(struct soak_proxy *proxy)
 {
 	if (!proxy)
@@ -104,26 +104,27 @@
 	g_free(proxy);
 }
 
-/* Where the proxy listens, as IP:PORT. */
+/* Returns the listening address as IP:PORT; the proxy owns it. */
 const char *soak_proxy_address(const struct soak_proxy *proxy)
 {
 	return proxy->address;
 }
 
-/* The IP address that the target sees the proxy's connections come from. */
+/* Returns the IP address from which the proxy connects to its target. */
 const char *soak_proxy_source(const struct soak_proxy *proxy)
 {
 	return proxy->source_text;
 }
 
-/* Where new connections go, as IP:PORT; those that are open stay. */
+/* Sets the target, IP:PORT, of new connections; open ones keep theirs. */
 void soak_proxy_set_target(struct soak_proxy *proxy, const char *target)
 {
 	GSocketAddress *address = address_parse(target);
 
 	if (!address) {
-		fprintf(stderr, "proxy %s: no address: %s\n", proxy->address,
-			target);
+		fprintf(stderr,
+			"proxy %s: invalid target %s, expected IP:PORT\n",
+			proxy->address, target);
 		return;
 	}
 	g_object_unref(proxy->target);
@@ -137,7 +138,7 @@
 			g_ptr_array_remove_index_fast(proxy->connections, 0));
 }
 
-/* Gives the link another fault, or none. */
+/* Sets the fault of the link, or SOAK_LINK_SOUND for none. */
 void soak_proxy_set(struct soak_proxy *proxy, const struct soak_link *link)
 {
 	proxy->link = *link;
--- a/tests/soak/soak_proxy.h
+++ b/tests/soak/soak_proxy.h
@@ -9,9 +9,9 @@
 G_BEGIN_DECLS
 
 /*
- * A loopback TCP proxy between two parties, in the default main context. The
- * one party is given the proxy's address in place of the other's, and the link
- * between them has the faults that are set.
+ * A loopback TCP proxy between a client and a target, in the default main
+ * context. The client is given the proxy's address in place of the target's.
+ * The proxy injects the link faults that are set.
  */
 struct soak_proxy;
 
--- a/tests/soak/soak_report.c
+++ b/tests/soak/soak_report.c
@@ -32,7 +32,7 @@
 	g_array_append_val(lines, line);
 }
 
-/* The time that a line of a node's log begins with; 0: it has none. */
+/* Returns the Unix time in us of a node's log line; 0: it has no time. */
 static int64_t log_line_time(const char *line)
 {
 	g_autoptr(GDateTime) time = NULL;
@@ -49,24 +49,25 @@
 		    : 0;
 }
 
-/* A line without a time stands with the one before it. */
+/* A line without a time gets the time of the line before it. */
 static void add_log(GArray *lines, const struct soak_life *life,
 		    int64_t begun_us)
 {
 	g_autofree char *text = NULL;
-	g_auto(GStrv) each = NULL;
+	g_auto(GStrv) log_lines = NULL;
 	int64_t at_us = begun_us;
 
 	if (!g_file_get_contents(life->log_path, &text, NULL, NULL))
 		return;
-	each = g_strsplit(text, "\n", -1);
-	for (guint i = 0; each[i]; i++) {
-		int64_t time_us = log_line_time(each[i]);
+	log_lines = g_strsplit(text, "\n", -1);
+	for (guint i = 0; log_lines[i]; i++) {
+		int64_t time_us = log_line_time(log_lines[i]);
 
 		if (time_us)
 			at_us = time_us;
-		if (*each[i])
-			add_line(lines, at_us, "%s: %s", life->name, each[i]);
+		if (*log_lines[i])
+			add_line(lines, at_us, "%s: %s", life->name,
+				 log_lines[i]);
 	}
 }
 
@@ -102,7 +103,8 @@
 	}
 }
 
-static void add_soak(GArray *lines, const struct soak_evidence *evidence)
+static void add_soak_actions(GArray *lines,
+			     const struct soak_evidence *evidence)
 {
 	int64_t offset_us = evidence->unix_offset_us;
 
@@ -152,7 +154,7 @@
 	}
 }
 
-static int line_order(gconstpointer a, gconstpointer b)
+static int line_compare(gconstpointer a, gconstpointer b)
 {
 	const struct line *one = a;
 	const struct line *other = b;
@@ -161,7 +163,10 @@
 	       (one->unix_us < other->unix_us);
 }
 
-/* Writes all that happened, by time. */
+/*
+ * Writes all events and log lines, ordered by time, to path. Returns false and
+ * sets error if the file can't be opened.
+ */
 bool soak_report_write_merged(const struct soak_evidence *evidence,
 			      const char *path, struct error *error)
 {
@@ -178,8 +183,8 @@
 	add_lives(lines, evidence);
 	add_attempts(lines, evidence);
 	add_entries(lines, evidence);
-	add_soak(lines, evidence);
-	g_array_sort(lines, line_order);
+	add_soak_actions(lines, evidence);
+	g_array_sort(lines, line_compare);
 	for (guint i = 0; i < lines->len; i++) {
 		const struct line *line = &g_array_index(lines, struct line, i);
 
@@ -221,7 +226,7 @@
 	return tally;
 }
 
-/* One line for the run and one for each find. */
+/* Prints one summary line for the run and one line for each finding. */
 void soak_report_print(const struct soak_schedule *schedule,
 		       const struct soak_evidence *evidence,
 		       const GPtrArray *finds)
--- a/tests/soak/soak_report.h
+++ b/tests/soak/soak_report.h
@@ -8,7 +8,7 @@
 
 G_BEGIN_DECLS
 
-/* What a run tells its reader: a line, the finds, and all logs as one. */
+/* Output of a run: a summary, the findings and a merged log. */
 void soak_report_print(const struct soak_schedule *schedule,
 		       const struct soak_evidence *evidence,
 		       const GPtrArray *finds);
--- a/tests/soak/soak_run.c
+++ b/tests/soak/soak_run.c
@@ -5,12 +5,12 @@
 #define STEP_RUN "soak.run"
 #define MS_US G_TIME_SPAN_MILLISECOND
 #define TICK_US (5 * MS_US)
-/* Nodes serve again within 12 s of their return; the run waits so long. */
+/* Nodes must serve within 12 s after all processes are back. */
 #define RECOVERY_US (12 * G_TIME_SPAN_SECOND)
-/* Before the first fault all nodes serve. */
+/* Time within which all nodes must serve before the first fault. */
 #define READY_US (10 * G_TIME_SPAN_SECOND)
-/* Beyond the last fault's end, for those that a busy machine starts late. */
-#define WHOLE_US (15 * G_TIME_SPAN_SECOND)
+/* Time after the last fault's end for restarts on a busy machine. */
+#define HEALTHY_US (15 * G_TIME_SPAN_SECOND)
 
 struct run {
 	const struct soak_schedule *schedule;
@@ -19,7 +19,7 @@
 	struct soak_evidence *evidence;
 	struct soak_fleet *fleet;
 	struct soak_callers *callers;
-	bool *has_begun; /* by the schedule's faults */
+	bool *has_begun; /* indexed like schedule->faults */
 	bool *has_ended;
 };
 
@@ -38,7 +38,7 @@
 				soak_callers_send_poison(run->callers);
 		}
 		if (run->has_begun[i] && !run->has_ended[i] &&
-		    elapsed_us >= (fault->at_ms + fault->for_ms) * MS_US) {
+		    elapsed_us >= (fault->at_ms + fault->duration_ms) * MS_US) {
 			run->has_ended[i] = true;
 			soak_fleet_end(run->fleet, fault);
 		}
@@ -54,7 +54,7 @@
 	return true;
 }
 
-static void run_load(struct run *run)
+static void run_under_load(struct run *run)
 {
 	int64_t begun_us = g_get_monotonic_time();
 	int64_t elapsed_us = 0;
@@ -79,7 +79,7 @@
 	return true;
 }
 
-/* Goes on until all nodes have answered a probe with 200 since then. */
+/* Runs until every node has answered a probe with 200 since since_us. */
 static bool run_until_served(struct run *run, int64_t since_us,
 			     int64_t until_us)
 {
@@ -92,10 +92,10 @@
 	return false;
 }
 
-/* Those that were told to stop last are still to come back. */
-static void run_until_whole(struct run *run)
+/* Processes that were stopped last may still have to restart. */
+static void run_until_healthy(struct run *run)
 {
-	int64_t until_us = g_get_monotonic_time() + WHOLE_US;
+	int64_t until_us = g_get_monotonic_time() + HEALTHY_US;
 
 	while (!*run->interrupted && !soak_fleet_is_whole(run->fleet) &&
 	       g_get_monotonic_time() < until_us) {
@@ -104,17 +104,17 @@
 	}
 }
 
-static void run_settle(struct run *run)
+static void run_recover(struct run *run)
 {
-	int64_t whole_us;
+	int64_t healthy_us;
 
-	run_until_whole(run);
-	whole_us = g_get_monotonic_time();
-	if (!run_until_served(run, whole_us, whole_us + RECOVERY_US) &&
+	run_until_healthy(run);
+	healthy_us = g_get_monotonic_time();
+	if (!run_until_served(run, healthy_us, healthy_us + RECOVERY_US) &&
 	    !*run->interrupted)
 		g_ptr_array_add(run->evidence->failures,
-				g_strdup("a node does not serve within 12 s of "
-					 "the return of all"));
+				g_strdup("a node does not serve within 12 s "
+					 "after all processes are back"));
 	run->evidence->load_end_us = g_get_monotonic_time();
 	soak_view_end_load(run->view);
 }
@@ -130,8 +130,8 @@
 	now_us = g_get_monotonic_time();
 	is_ready = run_until_served(run, now_us, now_us + READY_US);
 	if (is_ready) {
-		run_load(run);
-		run_settle(run);
+		run_under_load(run);
+		run_recover(run);
 	} else {
 		error_set(error, ERROR_TIMEOUT, STEP_RUN, NULL,
 			  "the nodes did not serve within 10 s of their start");
@@ -144,7 +144,7 @@
 	return is_ready;
 }
 
-/* Plays a schedule; its evidence is the caller's. */
+/* Runs a schedule and returns its evidence, which the caller owns. */
 struct soak_evidence *soak_run(const struct soak_schedule *schedule,
 			       const struct soak_fleet_paths *paths,
 			       const volatile sig_atomic_t *interrupted,
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -12,9 +12,10 @@
 G_BEGIN_DECLS
 
 /*
- * Plays a schedule: starts the processes and the callers, brings the faults in
- * and takes them back, waits until all nodes serve again. NULL and an error if
- * the run could not be made; interrupted ends it early.
+ * Runs a schedule: starts the processes and the callers, begins and ends the
+ * faults, and waits until all nodes serve again. Returns NULL and sets error
+ * if the processes don't start or the nodes don't serve at first; setting
+ * *interrupted ends the run early.
  */
 struct soak_evidence *soak_run(const struct soak_schedule *schedule,
 			       const struct soak_fleet_paths *paths,
--- a/tests/soak/soak_schedule.c
+++ b/tests/soak/soak_schedule.c
@@ -5,113 +5,111 @@
 #include <unistd.h>
 
 #define STEP_SIZES "soak.sizes"
-/* A machine's memory in the smaller of the two deployments. */
+/* Memory of one machine in the smaller of the two deployments. */
 #define NODE_BYTES (110LL << 20)
-/* Half of the machine and a few hundred processes are what a run may take. */
-#define MOST_PROCESSES 300
+/* A run may use half of the machine's memory and 300 processes. */
+#define MAX_PROCESSES 300
 #define OTHER_PROCESSES 12
-#define LEAST_LOAD_MS 5000
-#define MOST_LOAD_MS 600000
-/* The first streams are under way before anything goes wrong. */
+#define MIN_LOAD_MS 5000
+#define MAX_LOAD_MS 600000
+/* The first streams are running before the first fault begins. */
 #define FIRST_FAULT_MS 1000
-/* Of the load's time, so that some of it comes after the last fault. */
+/* Faults begin in this part of the load; some load follows the last one. */
 #define FAULTS_PERCENT 75
-/* One series of faults of one kind begins in about so many ms of load. */
+/* About one series of faults of one kind begins per 1500 ms of load. */
 #define MS_PER_SERIES 1500
-#define MOST_IN_SERIES 4
+#define MAX_IN_SERIES 4
 
 /*
- * Pauses are shorter and longer than the second after which a silent node is
- * held for dead. A stop is given the eight seconds of the pages.
+ * Short pauses end before, and long pauses after, the 1 s after which other
+ * nodes declare a silent node dead. A stop is given the documented 8 s.
  */
 static const struct soak_fault_type types[SOAK_FAULT_KINDS] = {
 	[SOAK_NODE_KILL] = {"node_kill", SOAK_TARGET_NODE, 100, 3000, false,
-			    "a node is killed and starts again", false, false},
+			    "a node is killed and restarts", false, false},
 	[SOAK_NODE_RENAME] = {"node_rename", SOAK_TARGET_NODE, 100, 3000, false,
-			      "a node is killed; one of another name and "
+			      "a node is killed; one with a new name and "
 			      "address starts",
 			      false, false},
 	[SOAK_NODE_PAUSE_SHORT] = {"node_pause_short", SOAK_TARGET_NODE, 100,
-				   800, false, "a node stands still", false,
+				   800, false, "a node is paused", false,
 				   false},
 	[SOAK_NODE_PAUSE_LONG] = {"node_pause_long", SOAK_TARGET_NODE, 1500,
 				  5000, false,
-				  "a node stands still until others hold it "
-				  "for dead",
+				  "a node is paused until others declare it "
+				  "dead",
 				  false, false},
 	[SOAK_NODE_TERM] = {"node_term", SOAK_TARGET_NODE, 1000, 4000, true,
-			    "a busy node is told to stop; it starts again",
-			    false, false},
+			    "a busy node gets SIGTERM and restarts", false,
+			    false},
 	[SOAK_NODE_HUP] = {"node_hup", SOAK_TARGET_NODE, 100, 1000, true,
 			   "a node's settings change", false, false},
 	[SOAK_NODE_KILL_ALL] = {"node_kill_all", SOAK_TARGET_ALL_NODES, 100,
-				1500, false,
-				"all nodes are killed and start again", false,
-				false},
+				1500, false, "all nodes are killed and restart",
+				false, false},
 	[SOAK_ENGINE_KILL] = {"engine_kill", SOAK_TARGET_ENGINE, 500, 5000,
-			      false, "an engine is killed; it comes back",
-			      false, false},
+			      false, "an engine is killed and restarts", false,
+			      false},
 	[SOAK_ENGINE_REPLACE] = {"engine_replace", SOAK_TARGET_ENGINE, 500,
 				 5000, false,
-				 "an engine is killed; another one comes",
+				 "an engine is killed; another one starts",
 				 false, false},
 	[SOAK_ENGINE_PAUSE] = {"engine_pause", SOAK_TARGET_ENGINE, 300, 3000,
-			       false, "an engine stands still", false, false},
+			       false, "an engine is paused", false, false},
 	[SOAK_ENGINE_LEAVE] = {"engine_leave", SOAK_TARGET_ENGINE, 3000, 5000,
-			       true, "an engine says that it leaves, and does",
+			       true, "an engine announces its stop and stops",
 			       false, false},
 	[SOAK_ENGINE_VANISH] = {"engine_vanish", SOAK_TARGET_ENGINE, 3000, 5000,
-				true, "an engine's entry goes before it does",
+				true,
+				"an engine's entry is deleted, then it stops",
 				false, false},
 	[SOAK_ENGINE_FULL] = {"engine_full", SOAK_TARGET_ENGINE, 300, 3000,
-			      false, "an engine turns requests away", false,
+			      false, "an engine rejects requests", false,
 			      false},
 	[SOAK_ENGINE_RESET] = {"engine_reset", SOAK_TARGET_ENGINE, 300, 2000,
-			       false, "an engine resets what it begins", false,
-			       false},
+			       false, "an engine resets requests it has begun",
+			       false, false},
 	[SOAK_ENGINE_NO_COPY] = {"engine_no_copy", SOAK_TARGET_ENGINE, 500,
 				 4000, false, "an engine has lost its copies",
 				 false, false},
 	[SOAK_ENGINE_NO_ROOM] = {"engine_no_room", SOAK_TARGET_ENGINE, 500,
 				 4000, false,
-				 "an engine has no room for copies", false,
+				 "an engine has no capacity for copies", false,
 				 false},
 	[SOAK_ENGINE_SLOW] = {"engine_slow", SOAK_TARGET_ENGINE, 500, 4000,
-			      true,
-			      "an engine begins after a second and a half",
-			      false, false},
+			      true, "an engine begins after 1.5 s", false,
+			      false},
 	[SOAK_PLAIN_SLOW] = {"plain_slow", SOAK_TARGET_PLAIN, 500, 4000, true,
-			     "a plain endpoint works for two seconds", false,
+			     "a plain endpoint answers after 2 s", false,
 			     false},
 	[SOAK_PLAIN_KILL] = {"plain_kill", SOAK_TARGET_PLAIN, 300, 3000, false,
-			     "a plain endpoint is killed; it comes back", false,
+			     "a plain endpoint is killed and restarts", false,
 			     false},
 	[SOAK_PLAIN_FAIL] = {"plain_fail", SOAK_TARGET_PLAIN, 300, 3000, false,
 			     "a plain endpoint answers 500", false, false},
 	[SOAK_PLAIN_PAUSE] = {"plain_pause", SOAK_TARGET_PLAIN, 300, 3000,
-			      false, "a plain endpoint stands still", false,
+			      false, "a plain endpoint is paused", false,
 			      false},
 	[SOAK_PLAIN_LEAVE] = {"plain_leave", SOAK_TARGET_PLAIN, 3000, 5000,
-			      true, "a plain endpoint leaves, another comes",
+			      true, "a plain endpoint leaves, another starts",
 			      false, false},
 	[SOAK_STORE_DOWN] = {"store_down", SOAK_TARGET_STORE, 300, 5000, false,
 			     "the store refuses all calls", false, false},
 	[SOAK_STORE_SILENT] = {"store_silent", SOAK_TARGET_STORE, 300, 5000,
-			       false, "the store answers nothing", false,
+			       false, "the store does not answer", false,
 			       false},
 	[SOAK_STORE_LOSE] = {"store_lose", SOAK_TARGET_STORE, 300, 3000, false,
 			     "answers of the store are lost", false, false},
 	[SOAK_STORE_FORGET] = {"store_forget", SOAK_TARGET_STORE, 100, 100,
-			       false, "the store forgets its history", false,
-			       false},
+			       false, "the store loses its revision history",
+			       false, false},
 	[SOAK_STORE_LAPSE] = {"store_lapse", SOAK_TARGET_STORE, 1000, 4000,
 			      false,
-			      "the store is away, and engines' entries are "
-			      "back only a second after it",
+			      "the store is unreachable; engines' entries "
+			      "return 1 s after the store",
 			      false, false},
 	[SOAK_STORE_SLOW] = {"store_slow", SOAK_TARGET_STORE, 500, 4000, false,
-			     "the store answers after a second and a half",
-			     false, false},
+			     "the store answers after 1.5 s", false, false},
 	[SOAK_STORE_STALE] = {"store_stale", SOAK_TARGET_STORE, 500, 4000,
 			      false, "reads that may be stale are 2 s old",
 			      false, false},
@@ -124,24 +122,24 @@
 			 "a request that crashes the engines that run it",
 			 false, false},
 	[SOAK_STORE_LINK_CUT] = {"store_link_cut", SOAK_TARGET_NODE, 300, 5000,
-				 false,
-				 "the store and a node don't reach each other",
+				 false, "a node and the store are partitioned",
 				 true, true},
 	[SOAK_STORE_LINK_RESET] =
 		{"store_link_reset", SOAK_TARGET_NODE, 300, 4000, false,
 		 "a node's connections to the store are reset", true, true},
 	[SOAK_STORE_LINK_SILENT] =
 		{"store_link_silent", SOAK_TARGET_NODE, 300, 4000, false,
-		 "a node's connections to the store fall silent", true, true},
+		 "a node's connections to the store go silent", true, true},
 	[SOAK_STORE_LINK_DELAY] = {"store_link_delay", SOAK_TARGET_NODE, 500,
-				   4000, false, "a node's store is slow", true,
-				   true},
+				   4000, false,
+				   "the link from a node to the store is slow",
+				   true, true},
 	[SOAK_STORE_LINK_HOLD] = {"store_link_hold", SOAK_TARGET_NODE, 300,
 				  3000, false,
-				  "the store's answers to a node come late",
+				  "the store's answers to a node are delayed",
 				  true, true},
 	[SOAK_STORE_REFUSES] = {"store_refuses", SOAK_TARGET_NODE, 300, 5000,
-				false, "the store turns one node away", true,
+				false, "the store rejects one node", true,
 				true},
 	[SOAK_CALLER_LINK_RESET] = {"caller_link_reset", SOAK_TARGET_NODE, 100,
 				    1500, false,
@@ -149,54 +147,54 @@
 				    true, false},
 	[SOAK_CALLER_LINK_CUT] = {"caller_link_cut", SOAK_TARGET_NODE, 100,
 				  2000, false,
-				  "callers and a node don't reach each other",
-				  true, false},
+				  "callers and a node are partitioned", true,
+				  false},
 	[SOAK_CALLER_LINK_DELAY] = {"caller_link_delay", SOAK_TARGET_NODE, 300,
-				    3000, false, "callers' bytes come late",
+				    3000, false, "callers' bytes are delayed",
 				    true, false},
 	[SOAK_ENGINE_LINK_RESET] = {"engine_link_reset", SOAK_TARGET_ENGINE,
 				    100, 2000, false,
 				    "an engine's connections are reset", true,
 				    false},
 	[SOAK_ENGINE_LINK_CUT] = {"engine_link_cut", SOAK_TARGET_ENGINE, 200,
-				  4000, false, "nobody reaches an engine", true,
+				  4000, false, "an engine is unreachable", true,
 				  false},
 	[SOAK_ENGINE_LINK_CUT_BACK] = {"engine_link_cut_back",
 				       SOAK_TARGET_ENGINE, 200, 4000, false,
-				       "an engine is heard by nobody", true,
-				       false},
+				       "bytes from an engine are held back",
+				       true, false},
 	[SOAK_ENGINE_LINK_SILENT] = {"engine_link_silent", SOAK_TARGET_ENGINE,
 				     200, 4000, false,
-				     "what is open to an engine falls silent",
+				     "open connections to an engine go silent",
 				     true, false},
 	[SOAK_ENGINE_LINK_DELAY] = {"engine_link_delay", SOAK_TARGET_ENGINE,
 				    300, 3000, false,
-				    "an engine's bytes come late", true, false},
+				    "an engine's bytes are delayed", true,
+				    false},
 	[SOAK_PLAIN_LINK_RESET] = {"plain_link_reset", SOAK_TARGET_PLAIN, 100,
 				   2000, false,
 				   "an endpoint's connections are reset", true,
 				   false},
 	[SOAK_PLAIN_LINK_CUT_BACK] = {"plain_link_cut_back", SOAK_TARGET_PLAIN,
 				      200, 3000, false,
-				      "an endpoint is heard by nobody", true,
-				      false},
-	[SOAK_PLAIN_LINK_TRICKLE] = {"plain_link_trickle", SOAK_TARGET_PLAIN,
-				     200, 2000, false,
-				     "an endpoint's answers come byte by byte",
-				     true, false},
-	[SOAK_PLAIN_LINK_EXTRA] =
-		{"plain_link_extra", SOAK_TARGET_PLAIN, 200, 3000, false,
-		 "an endpoint sends answers that nobody asked for", true,
-		 false},
+				      "bytes from an endpoint are held back",
+				      true, false},
+	[SOAK_PLAIN_LINK_TRICKLE] =
+		{"plain_link_trickle", SOAK_TARGET_PLAIN, 200, 2000, false,
+		 "an endpoint's answers arrive byte by byte", true, false},
+	[SOAK_PLAIN_LINK_EXTRA] = {"plain_link_extra", SOAK_TARGET_PLAIN, 200,
+				   3000, false,
+				   "an endpoint sends unsolicited answers",
+				   true, false},
 };
 
-/* The row of a kind. */
+/* Returns the static description of a kind of fault. */
 const struct soak_fault_type *soak_fault_type_at(enum soak_fault_kind kind)
 {
 	return &types[kind];
 }
 
-/* False for a name that no kind has. */
+/* Finds a kind by its name; returns false for an unknown name. */
 bool soak_fault_kind_parse(const char *name, enum soak_fault_kind *kind)
 {
 	for (int i = 0; i < SOAK_FAULT_KINDS; i++) {
@@ -208,38 +206,38 @@
 	return false;
 }
 
-static int64_t most_nodes(void)
+static int64_t max_nodes(void)
 {
 	int64_t memory_bytes =
 		(int64_t)sysconf(_SC_PHYS_PAGES) * sysconf(_SC_PAGESIZE);
 
 	return MIN(memory_bytes / 2 / NODE_BYTES - OTHER_PROCESSES,
-		   MOST_PROCESSES - OTHER_PROCESSES);
+		   MAX_PROCESSES - OTHER_PROCESSES);
 }
 
-/* False, with the value and its range, for what this machine can't bear. */
+/* Returns false, with the value and its range, if a size is out of range. */
 bool soak_sizes_check(const struct soak_sizes *sizes, struct error *error)
 {
 	if (sizes->nodes != 0 &&
-	    (sizes->nodes < 1 || sizes->nodes > most_nodes())) {
+	    (sizes->nodes < 1 || sizes->nodes > max_nodes())) {
 		error_set(error, ERROR_INVALID, STEP_SIZES, NULL,
 			  "--nodes %d: expected 1 to %" PRId64
 			  " on this machine",
-			  sizes->nodes, most_nodes());
+			  sizes->nodes, max_nodes());
 		return false;
 	}
-	if (sizes->load_ms < LEAST_LOAD_MS || sizes->load_ms > MOST_LOAD_MS) {
+	if (sizes->load_ms < MIN_LOAD_MS || sizes->load_ms > MAX_LOAD_MS) {
 		error_set(error, ERROR_INVALID, STEP_SIZES, NULL,
 			  "--seconds %" PRId64 ": expected %d to %d",
-			  sizes->load_ms / 1000, LEAST_LOAD_MS / 1000,
-			  MOST_LOAD_MS / 1000);
+			  sizes->load_ms / 1000, MIN_LOAD_MS / 1000,
+			  MAX_LOAD_MS / 1000);
 		return false;
 	}
 	return true;
 }
 
-static int32_t targets_of(const struct soak_schedule *schedule,
-			  enum soak_target target)
+static int32_t target_count(const struct soak_schedule *schedule,
+			    enum soak_target target)
 {
 	switch (target) {
 	case SOAK_TARGET_NODE:
@@ -253,7 +251,7 @@
 	}
 }
 
-static int fault_order(gconstpointer a, gconstpointer b)
+static int fault_compare(gconstpointer a, gconstpointer b)
 {
 	const struct soak_fault *one = a;
 	const struct soak_fault *other = b;
@@ -261,40 +259,43 @@
 	return (one->at_ms > other->at_ms) - (one->at_ms < other->at_ms);
 }
 
-/* Some faults of one kind, on one target after the other. */
+/* Adds 1 to 4 faults of one kind on successive targets. */
 static void schedule_add_series(struct soak_schedule *schedule, GRand *random,
 				enum soak_fault_kind kind)
 {
 	const struct soak_fault_type *type = &types[kind];
-	int32_t targets = targets_of(schedule, type->target);
-	int32_t count = g_rand_int_range(random, 1, MOST_IN_SERIES + 1);
+	int32_t targets = target_count(schedule, type->target);
+	int32_t count = g_rand_int_range(random, 1, MAX_IN_SERIES + 1);
 	int32_t first = g_rand_int_range(random, 0, targets);
 	int64_t last_ms = schedule->load_ms * FAULTS_PERCENT / 100;
 	int64_t at_ms =
 		g_rand_int_range(random, FIRST_FAULT_MS, (gint32)last_ms);
-	int64_t every_ms = g_rand_int_range(random, 50, 1500);
+	int64_t interval_ms = g_rand_int_range(random, 50, 1500);
 
 	for (int32_t i = 0; i < count && at_ms < last_ms; i++) {
 		struct soak_fault fault = {
 			.kind = kind,
 			.target = (first + i) % targets,
 			.at_ms = at_ms,
-			.for_ms = g_rand_int_range(
-				random, (gint32)type->for_min_ms,
-				(gint32)type->for_max_ms + 1),
+			.duration_ms = g_rand_int_range(
+				random, (gint32)type->min_duration_ms,
+				(gint32)type->max_duration_ms + 1),
 		};
 
 		g_array_append_val(schedule->faults, fault);
-		at_ms += every_ms;
+		at_ms += interval_ms;
 	}
 }
 
-static int32_t series_of(const struct soak_schedule *schedule)
+static int32_t series_count(const struct soak_schedule *schedule)
 {
 	return (int32_t)(schedule->load_ms / MS_PER_SERIES);
 }
 
-/* The run of a seed: the same on each machine, and with the same sizes. */
+/*
+ * Creates the run of a seed, which the caller owns. The same seed and sizes
+ * give the same run on each machine.
+ */
 struct soak_schedule *soak_schedule_create(uint32_t seed,
 					   const struct soak_sizes *sizes)
 {
@@ -312,16 +313,16 @@
 	if (sizes->nodes)
 		schedule->nodes = sizes->nodes;
 	schedule->faults = g_array_new(FALSE, TRUE, sizeof(struct soak_fault));
-	for (int32_t i = 0; i < series_of(schedule); i++)
+	for (int32_t i = 0; i < series_count(schedule); i++)
 		schedule_add_series(schedule, random,
 				    (enum soak_fault_kind)g_rand_int_range(
 					    random, 0, SOAK_FAULT_KINDS));
-	g_array_sort(schedule->faults, fault_order);
+	g_array_sort(schedule->faults, fault_compare);
 	g_rand_free(random);
 	return schedule;
 }
 
-/* NULL is allowed. */
+/* Frees a schedule; NULL is allowed. */
 void soak_schedule_destroy(struct soak_schedule *schedule)
 {
 	if (!schedule)
@@ -330,28 +331,28 @@
 	g_free(schedule);
 }
 
-/* A run without faults: it must be clean. */
+/* Removes all faults; such a run must have no findings. */
 void soak_schedule_keep_none(struct soak_schedule *schedule)
 {
 	g_array_set_size(schedule->faults, 0);
 }
 
-/* The same sizes and load, with as many faults, all of these kinds. */
+/* Replaces the faults by as many series, all of the given kinds. */
 void soak_schedule_keep_kinds(struct soak_schedule *schedule,
 			      const GArray *kinds)
 {
 	GRand *random = g_rand_new_with_seed(schedule->seed);
 
 	g_array_set_size(schedule->faults, 0);
-	for (int32_t i = 0; i < series_of(schedule); i++)
+	for (int32_t i = 0; i < series_count(schedule); i++)
 		schedule_add_series(schedule, random,
 				    g_array_index(kinds, enum soak_fault_kind,
 						  i % kinds->len));
-	g_array_sort(schedule->faults, fault_order);
+	g_array_sort(schedule->faults, fault_compare);
 	g_rand_free(random);
 }
 
-/* Whether such a link is harmed: only then are there proxies on such links. */
+/* Returns whether a fault affects such a link, which then needs proxies. */
 bool soak_schedule_has_links(const struct soak_schedule *schedule,
 			     enum soak_target target, bool to_store)
 {
@@ -368,7 +369,7 @@
 	return false;
 }
 
-/* A line for the sizes and one for each fault; the caller frees it. */
+/* Formats one line for the sizes and one per fault; the caller frees it. */
 char *soak_schedule_print(const struct soak_schedule *schedule)
 {
 	GString *text = g_string_new(NULL);
@@ -388,7 +389,7 @@
 		g_string_append_printf(
 			text, "%6" PRId64 " ms %-17s %d for %" PRId64 " ms\n",
 			fault->at_ms, types[fault->kind].name, fault->target,
-			fault->for_ms);
+			fault->duration_ms);
 	}
 	return g_string_free(text, FALSE);
 }
--- a/tests/soak/soak_schedule.h
+++ b/tests/soak/soak_schedule.h
@@ -9,13 +9,13 @@
 
 G_BEGIN_DECLS
 
-/* What a run of one seed is: sizes, load, and faults with their times. */
+/* The run of one seed: sizes, load, and faults with their times. */
 
 enum soak_target {
 	SOAK_TARGET_NODE,
 	SOAK_TARGET_ALL_NODES,
-	SOAK_TARGET_ENGINE, /* that generates */
-	SOAK_TARGET_PLAIN,  /* one that answers at once */
+	SOAK_TARGET_ENGINE, /* generates streams */
+	SOAK_TARGET_PLAIN,  /* answers at once, no stream */
 	SOAK_TARGET_STORE,
 	SOAK_TARGET_OPERATOR,
 	SOAK_TARGET_CALLER,
@@ -78,23 +78,23 @@
 struct soak_fault_type {
 	const char *name;
 	enum soak_target target;
-	int64_t for_min_ms; /* how long it lasts */
-	int64_t for_max_ms;
-	bool is_planned; /* work that must cost no caller anything */
+	int64_t min_duration_ms; /* range of the duration */
+	int64_t max_duration_ms;
+	bool is_planned; /* planned work; must not affect callers */
 	const char *says;
-	bool is_link;	  /* between the target and who connects to it */
-	bool is_to_store; /* or between the target and the store */
+	bool is_link;	  /* affects connections to the target */
+	bool is_to_store; /* or from the target to the store */
 };
 
 struct soak_fault {
 	enum soak_fault_kind kind;
-	int32_t target; /* index among its kind of target */
+	int32_t target; /* index among the targets of its type */
 	int64_t at_ms;	/* from the start of the load */
-	int64_t for_ms;
+	int64_t duration_ms;
 };
 
 struct soak_sizes {
-	int32_t nodes; /* 0: from the seed */
+	int32_t nodes; /* 0: derived from the seed */
 	int64_t load_ms;
 };
 
@@ -104,7 +104,7 @@
 	int32_t engines;
 	int32_t plains;
 	int32_t callers;
-	int64_t events; /* of a stream */
+	int64_t events; /* per stream */
 	int64_t pace_ms;
 	int64_t load_ms;
 	GArray *faults; /* struct soak_fault, by time */
--- a/tests/soak/soak_socket.c
+++ b/tests/soak/soak_socket.c
@@ -5,7 +5,10 @@
 #include <stdio.h>
 #include <sys/socket.h>
 
-/* A socket that connects from source; NULL after a line on standard error. */
+/*
+ * Creates a TCP socket bound to source, which the caller owns. On failure it
+ * prints the reason to standard error and returns NULL.
+ */
 GSocket *soak_socket_open(GSocketAddress *source)
 {
 	g_autoptr(GError) error = NULL;
@@ -15,19 +18,22 @@
 
 	if (socket && g_socket_bind(socket, source, FALSE, &error))
 		return socket;
-	fprintf(stderr, "proxy: no socket: %s\n", error->message);
+	fprintf(stderr, "proxy: can't create a socket: %s\n", error->message);
 	g_clear_object(&socket);
 	return NULL;
 }
 
-/* It never blocks, and small writes leave at once: a trickle is one. */
+/*
+ * Makes the socket non-blocking and sets TCP_NODELAY, so that the single bytes
+ * of a trickle are sent at once.
+ */
 void soak_socket_hurry(GSocket *socket)
 {
 	g_socket_set_blocking(socket, FALSE);
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
 }
 
-/* Closes it so that its peer gets a reset. */
+/* Closes the socket with a zero linger time: the peer gets a reset. */
 void soak_socket_reset(GSocket *socket)
 {
 	struct linger linger = {1, 0};
--- a/tests/soak/soak_socket.h
+++ b/tests/soak/soak_socket.h
@@ -5,7 +5,7 @@
 
 G_BEGIN_DECLS
 
-/* What the proxy needs of sockets beyond GIO. */
+/* Socket functions of the proxy that GIO does not offer. */
 GSocket *soak_socket_open(GSocketAddress *source);
 void soak_socket_hurry(GSocket *socket);
 void soak_socket_reset(GSocket *socket);
--- a/tests/soak/soak_view.c
+++ b/tests/soak/soak_view.c
@@ -2,7 +2,7 @@
 
 struct node_view {
 	char *front;
-	char *via; /* a proxy that leads there */
+	char *connect_address; /* address to connect to, maybe a proxy */
 	char *directory;
 	int64_t served_us;
 };
@@ -13,10 +13,10 @@
 	struct node_view *nodes;
 	int32_t version;
 	bool has_load;
-	bool goes_on;
+	bool has_probes;
 };
 
-/* Addresses are set later. */
+/* Creates a view without addresses; the caller owns it. */
 struct soak_view *soak_view_create(int32_t nodes)
 {
 	struct soak_view *view = g_new0(struct soak_view, 1);
@@ -25,18 +25,18 @@
 	view->count = nodes;
 	view->nodes = g_new0(struct node_view, nodes);
 	view->has_load = true;
-	view->goes_on = true;
+	view->has_probes = true;
 	return view;
 }
 
-/* No thread may use it any more; NULL is allowed. */
+/* Frees a view that no thread uses any more; NULL is allowed. */
 void soak_view_destroy(struct soak_view *view)
 {
 	if (!view)
 		return;
 	for (int32_t i = 0; i < view->count; i++) {
 		g_free(view->nodes[i].front);
-		g_free(view->nodes[i].via);
+		g_free(view->nodes[i].connect_address);
 		g_free(view->nodes[i].directory);
 	}
 	g_free(view->nodes);
@@ -44,23 +44,23 @@
 	g_free(view);
 }
 
-/* Where a node listens from now on, and the way there. */
+/* Sets a node's front, the address to connect to, and its directory. */
 void soak_view_set_node(struct soak_view *view, int32_t node, const char *front,
-			const char *via, const char *directory)
+			const char *connect_address, const char *directory)
 {
-	struct node_view *of = &view->nodes[node];
+	struct node_view *entry = &view->nodes[node];
 
 	g_mutex_lock(&view->lock);
-	g_free(of->front);
-	g_free(of->via);
-	g_free(of->directory);
-	of->front = g_strdup(front);
-	of->via = g_strdup(via);
-	of->directory = g_strdup(directory);
+	g_free(entry->front);
+	g_free(entry->connect_address);
+	g_free(entry->directory);
+	entry->front = g_strdup(front);
+	entry->connect_address = g_strdup(connect_address);
+	entry->directory = g_strdup(directory);
 	g_mutex_unlock(&view->lock);
 }
 
-/* A copy, for the caller to free. */
+/* Returns a copy of a node's front address; the caller frees it. */
 char *soak_view_front(struct soak_view *view, int32_t node)
 {
 	char *front;
@@ -71,21 +71,25 @@
 	return front;
 }
 
-/* Where a caller connects that means that front; the caller frees it. */
+/*
+ * Returns the address to connect to in order to reach a front: that of a proxy
+ * if there is one, else the front. The caller frees it.
+ */
 char *soak_view_way_to(struct soak_view *view, const char *front)
 {
-	char *via = NULL;
+	char *connect_address = NULL;
 
 	g_mutex_lock(&view->lock);
-	for (int32_t i = 0; i < view->count && !via; i++) {
+	for (int32_t i = 0; i < view->count && !connect_address; i++) {
 		if (g_strcmp0(view->nodes[i].front, front) == 0)
-			via = g_strdup(view->nodes[i].via);
+			connect_address =
+				g_strdup(view->nodes[i].connect_address);
 	}
 	g_mutex_unlock(&view->lock);
-	return via ? via : g_strdup(front);
+	return connect_address ? connect_address : g_strdup(front);
 }
 
-/* A copy, for the caller to free. */
+/* Returns a copy of a node's directory address; the caller frees it. */
 char *soak_view_directory(struct soak_view *view, int32_t node)
 {
 	char *directory;
@@ -96,13 +100,13 @@
 	return directory;
 }
 
-/* How many nodes there are. */
+/* Returns the number of nodes. */
 int32_t soak_view_nodes(const struct soak_view *view)
 {
 	return view->count;
 }
 
-/* The newest configuration that the store has accepted. */
+/* Sets the index of the newest configuration accepted by the store. */
 void soak_view_set_version(struct soak_view *view, int32_t index)
 {
 	g_mutex_lock(&view->lock);
@@ -110,7 +114,7 @@
 	g_mutex_unlock(&view->lock);
 }
 
-/* The newest configuration that the store has accepted. */
+/* Returns the index of the newest configuration accepted by the store. */
 int32_t soak_view_version(struct soak_view *view)
 {
 	int32_t version;
@@ -138,32 +142,32 @@
 	return value;
 }
 
-/* Callers begin nothing new; probes go on. */
+/* Ends the load: callers begin no new requests, but probes continue. */
 void soak_view_end_load(struct soak_view *view)
 {
 	view_set(view, &view->has_load, false);
 }
 
-/* Whether callers still begin new requests. */
+/* Returns whether callers still begin new requests. */
 bool soak_view_has_load(struct soak_view *view)
 {
 	return view_get(view, &view->has_load);
 }
 
-/* Probes end too. */
+/* Ends the load and the probes. */
 void soak_view_end(struct soak_view *view)
 {
 	view_set(view, &view->has_load, false);
-	view_set(view, &view->goes_on, false);
+	view_set(view, &view->has_probes, false);
 }
 
-/* Whether probes go on. */
+/* Returns whether probes continue. */
 bool soak_view_goes_on(struct soak_view *view)
 {
-	return view_get(view, &view->goes_on);
+	return view_get(view, &view->has_probes);
 }
 
-/* The node has just answered a probe with 200. */
+/* Records that a node has just answered a probe with 200. */
 void soak_view_note_served(struct soak_view *view, int32_t node)
 {
 	g_mutex_lock(&view->lock);
@@ -171,7 +175,7 @@
 	g_mutex_unlock(&view->lock);
 }
 
-/* When that was last; 0: never. */
+/* Returns the time of the last such answer; 0: there was none. */
 int64_t soak_view_served_us(struct soak_view *view, int32_t node)
 {
 	int64_t served_us;
--- a/tests/soak/soak_view.h
+++ b/tests/soak/soak_view.h
@@ -7,13 +7,13 @@
 
 G_BEGIN_DECLS
 
-/* What the soak tells its callers, who are threads of their own. */
+/* State that the soak shares with its caller threads; a mutex guards it. */
 struct soak_view;
 
 struct soak_view *soak_view_create(int32_t nodes);
 void soak_view_destroy(struct soak_view *view);
 void soak_view_set_node(struct soak_view *view, int32_t node, const char *front,
-			const char *via, const char *directory);
+			const char *connect_address, const char *directory);
 char *soak_view_way_to(struct soak_view *view, const char *front);
 char *soak_view_front(struct soak_view *view, int32_t node);
 char *soak_view_directory(struct soak_view *view, int32_t node);
--- a/tests/soak_proxy_test.cc
+++ b/tests/soak_proxy_test.cc
@@ -4,7 +4,7 @@
 
 #include <memory>
 
-/* Two parties and the proxy between them, each on a free port. */
+/* A client and a target with a proxy between them; ports are free ones. */
 class SoakProxy : public ::testing::Test
 {
       protected:
@@ -40,7 +40,7 @@
 		target.reset(listener.accept());
 	}
 
-	/* Both ways, so that the connection stands at the proxy. */
+	/* Sends in both directions, so that the proxy has its connection. */
 	void talk()
 	{
 		client->send("ping");
@@ -58,7 +58,7 @@
 	}
 };
 
-TEST(SoakLink, KindsAreFoundByTheirNames)
+TEST(SoakLink, FindsKindsByName)
 {
 	enum soak_link_kind kind;
 
@@ -71,7 +71,7 @@
 	EXPECT_FALSE(soak_link_kind_parse("broken", &kind));
 }
 
-TEST(SoakProxyCreate, SaysWhyATargetIsNone)
+TEST(SoakProxyCreate, RejectsAnInvalidTarget)
 {
 	struct error error = {};
 
@@ -79,7 +79,7 @@
 	EXPECT_EQ(ERROR_INVALID, error.code);
 }
 
-TEST_F(SoakProxy, PassesBytesAndTheEndOfEachSideOn)
+TEST_F(SoakProxy, ForwardsBytesAndTheEndOfEachSide)
 {
 	connect();
 	talk();
@@ -91,8 +91,8 @@
 	EXPECT_TRUE(client->wait_closed());
 }
 
-/* So that a party can refuse some of its callers and serve the others. */
-TEST_F(SoakProxy, ConnectsFromAnAddressOfItsOwn)
+/* A target can then refuse some of its clients and serve the others. */
+TEST_F(SoakProxy, ConnectsFromItsOwnAddress)
 {
 	g_autoptr(GSocketAddress) from = nullptr;
 	g_autofree char *text = nullptr;
@@ -105,7 +105,7 @@
 	EXPECT_EQ(0u, std::string(text).find("127.1."));
 }
 
-TEST_F(SoakProxy, PassesMoreThanItHolds)
+TEST_F(SoakProxy, ForwardsMoreThanItsBuffer)
 {
 	const std::string bytes(1 << 20, 'x');
 
@@ -119,7 +119,7 @@
 	EXPECT_EQ(bytes + "end", target->input);
 }
 
-TEST_F(SoakProxy, PassesAResetOn)
+TEST_F(SoakProxy, ForwardsAReset)
 {
 	connect();
 	talk();
@@ -128,11 +128,11 @@
 }
 
 /*
- * The client closes in the middle of what the target sends. The target hears
- * of the close and goes on, as one does that still has to answer; the client's
- * host answers its next bytes with a reset, by which it stops.
+ * The client closes while the target is still sending. The target sees the
+ * close and continues, because it may still have to answer; the client's host
+ * answers the next bytes with a reset, which must reach the target.
  */
-TEST_F(SoakProxy, PassesAResetOnBehindAClose)
+TEST_F(SoakProxy, ForwardsAResetAfterAClose)
 {
 	connect();
 	talk();
@@ -148,10 +148,11 @@
 }
 
 /*
- * The process behind the proxy is gone: who connects is reset, as the host
- * does; started again elsewhere, it is found at the same address.
+ * While the target process is gone, new connections are reset, as by a host
+ * without a listener. After a restart at another address the target is
+ * reached through the same proxy address.
  */
-TEST_F(SoakProxy, FollowsATargetThatIsStartedElsewhere)
+TEST_F(SoakProxy, FollowsATargetToANewAddress)
 {
 	Listener other;
 
@@ -180,7 +181,7 @@
 	EXPECT_GE(g_get_monotonic_time(), sent_us + 20 * SOON_US);
 }
 
-TEST_F(SoakProxy, ResetsOpenConnectionsAndNewOnesWhileItLasts)
+TEST_F(SoakProxy, ResetsOpenAndNewConnections)
 {
 	connect();
 	talk();
@@ -194,8 +195,8 @@
 	talk();
 }
 
-/* What was sent during the cut comes when it is over, ends as well. */
-TEST_F(SoakProxy, HoldsTheWayThereWhileItIsCut)
+/* Bytes and ends sent during the cut are delivered after it. */
+TEST_F(SoakProxy, HoldsBytesOfTheClientDuringACut)
 {
 	connect();
 	talk();
@@ -211,10 +212,10 @@
 }
 
 /*
- * Connecting hangs as in a network that is cut: neither done nor refused. The
- * first second after, the kernel asks again, and it is done.
+ * As in a partitioned network, connecting neither succeeds nor fails. It
+ * completes when the kernel retries, within the first second after the cut.
  */
-TEST_F(SoakProxy, LetsConnectingHangWhileTheWayThereIsCut)
+TEST_F(SoakProxy, ConnectingHangsDuringACut)
 {
 	std::string address = soak_proxy_address(proxy);
 	g_autoptr(GSocketAddress) to = g_inet_socket_address_new_from_string(
@@ -243,8 +244,8 @@
 	EXPECT_EQ(nullptr, g_socket_accept(listener.socket, nullptr, nullptr));
 }
 
-/* A link that is cut and healed often takes connections each time. */
-TEST_F(SoakProxy, TakesConnectionsBetweenCuts)
+/* Connections are accepted after each of several cuts. */
+TEST_F(SoakProxy, AcceptsConnectionsBetweenCuts)
 {
 	for (int i = 0; i < 5; i++) {
 		set(SOAK_LINK_CUT_FORWARD);
@@ -260,8 +261,8 @@
 	EXPECT_EQ(nullptr, g_socket_accept(listener.socket, nullptr, nullptr));
 }
 
-/* What a cut holds back costs no turns of the loop. */
-TEST_F(SoakProxy, RestsWhileBothSidesHaveEndedBehindACut)
+/* Bytes held back by a cut must not make the main loop spin. */
+TEST_F(SoakProxy, IsIdleWhileBothSidesHaveEndedDuringACut)
 {
 	connect();
 	talk();
@@ -277,7 +278,7 @@
 	EXPECT_TRUE(client->wait_closed());
 }
 
-TEST_F(SoakProxy, HoldsTheWayBackWhileItIsCut)
+TEST_F(SoakProxy, HoldsBytesOfTheTargetDuringACut)
 {
 	connect();
 	talk();
@@ -291,7 +292,7 @@
 	EXPECT_TRUE(client->wait_closed());
 }
 
-TEST_F(SoakProxy, HoldsBothWaysWhileBothAreCut)
+TEST_F(SoakProxy, HoldsBothDirectionsDuringACut)
 {
 	connect();
 	talk();
@@ -319,10 +320,10 @@
 }
 
 /*
- * A party whose host has vanished: its connections say nothing ever again and
- * don't end either, also when the network is well; new ones work.
+ * A host has vanished: its connections neither carry bytes nor end, even after
+ * the network has recovered; new connections work.
  */
-TEST_F(SoakProxy, LeavesSilentConnectionsSilent)
+TEST_F(SoakProxy, SilentConnectionsStaySilent)
 {
 	std::unique_ptr<Connection> old_client;
 	std::unique_ptr<Connection> old_target;
@@ -341,7 +342,7 @@
 	talk();
 }
 
-TEST_F(SoakProxy, PassesAByteAtATime)
+TEST_F(SoakProxy, ForwardsOneByteAtATime)
 {
 	std::vector<size_t> sizes;
 
@@ -358,8 +359,8 @@
 	EXPECT_GT(sizes.size(), 2u);
 }
 
-/* The engine's answer is complete; what follows belongs to no request. */
-TEST_F(SoakProxy, AddsAnAnswerThatNobodyAskedFor)
+/* The target's answer is complete; the bytes after it match no request. */
+TEST_F(SoakProxy, AddsAnUnsolicitedAnswer)
 {
 	connect();
 	set(SOAK_LINK_EXTRA, SOON_US);
