--- a/tests/soak/soak_http.c
+++ b/tests/soak/soak_http.c
@@ -14,15 +14,15 @@
 	bool is_broken;
 };
 
-/* What the parser's callbacks fill while one answer is read. */
+/* State of the parser callbacks while one answer is read. */
 struct reader {
 	struct soak_answer *answer;
 	GString *field;
 	GString *value;
-	bool is_whole;
+	bool is_complete;
 };
 
-/* An answer that has not come yet. */
+/* Creates an empty answer, which the caller destroys. */
 struct soak_answer *soak_answer_create(void)
 {
 	struct soak_answer *answer = g_new0(struct soak_answer, 1);
@@ -32,7 +32,7 @@
 	return answer;
 }
 
-/* NULL is allowed. */
+/* Frees an answer; NULL is allowed. */
 void soak_answer_destroy(struct soak_answer *answer)
 {
 	if (!answer)
@@ -42,7 +42,7 @@
 	g_free(answer);
 }
 
-/* For records and logs. */
+/* Returns the name of an end as records and logs print it. */
 const char *soak_end_name(enum soak_end end)
 {
 	static const char *const names[] = {
@@ -67,81 +67,94 @@
 		host, (guint)g_ascii_strtoull(colon + 1, NULL, 10));
 }
 
-static bool wait_for(GSocket *socket, GIOCondition condition, int64_t until_us)
+static bool wait_for_socket(GSocket *socket, GIOCondition condition,
+			    int64_t deadline_us)
 {
-	int64_t left_us = until_us - g_get_monotonic_time();
+	int64_t remaining_us = deadline_us - g_get_monotonic_time();
 
-	return left_us > 0 && g_socket_condition_timed_wait(
-				      socket, condition, left_us, NULL, NULL);
+	return remaining_us > 0 &&
+	       g_socket_condition_timed_wait(socket, condition, remaining_us,
+					     NULL, NULL);
 }
 
 static bool socket_connect(GSocket *socket, GSocketAddress *address,
-			   int64_t until_us, GError **error)
+			   int64_t deadline_us, GError **error)
 {
 	if (g_socket_connect(socket, address, NULL, error))
 		return true;
 	if (!g_error_matches(*error, G_IO_ERROR, G_IO_ERROR_PENDING))
 		return false;
 	g_clear_error(error);
-	if (wait_for(socket, G_IO_OUT, until_us))
+	if (wait_for_socket(socket, G_IO_OUT, deadline_us))
 		return g_socket_check_connect_result(socket, error);
 	g_set_error_literal(error, G_IO_ERROR, G_IO_ERROR_TIMED_OUT,
-			    "not established in time");
+			    "connection not established in time");
 	return false;
 }
 
-/* Connects to IP:PORT; NULL and an error where that fails. */
-struct soak_session *soak_session_create(const char *address, int64_t until_us,
+/*
+ * Connects to IP:PORT until the deadline (CLOCK_MONOTONIC). The caller destroys
+ * the session; on failure returns NULL and sets the error.
+ */
+struct soak_session *soak_session_create(const char *address,
+					 int64_t deadline_us,
 					 struct error *error)
 {
 	g_autoptr(GSocketAddress) target = address_parse(address);
 	g_autoptr(GSocket) socket = NULL;
 	g_autoptr(GError) failure = NULL;
-	struct soak_session *connection;
+	struct soak_session *session;
 
 	socket = g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
 			      G_SOCKET_PROTOCOL_TCP, &failure);
 	if (socket)
 		g_socket_set_blocking(socket, FALSE);
 	if (!target || !socket ||
-	    !socket_connect(socket, target, until_us, &failure)) {
+	    !socket_connect(socket, target, deadline_us, &failure)) {
 		error_set(error, ERROR_UNREACHABLE, STEP_CONNECT, address, "%s",
-			  failure ? failure->message : "no such address");
+			  failure ? failure->message
+				  : "invalid address, expected IP:PORT");
 		return NULL;
 	}
-	connection = g_new0(struct soak_session, 1);
-	connection->socket = g_steal_pointer(&socket);
-	return connection;
+	session = g_new0(struct soak_session, 1);
+	session->socket = g_steal_pointer(&socket);
+	return session;
 }
 
 /* Closes the connection; NULL is allowed. */
-void soak_session_destroy(struct soak_session *connection)
+void soak_session_destroy(struct soak_session *session)
 {
-	if (!connection)
+	if (!session)
 		return;
-	g_socket_close(connection->socket, NULL);
-	g_object_unref(connection->socket);
-	g_free(connection);
+	g_socket_close(session->socket, NULL);
+	g_object_unref(session->socket);
+	g_free(session);
 }
 
-/* Whether the other side has neither closed it nor sent what nobody asked. */
-bool soak_session_is_sound(const struct soak_session *connection)
+/*
+ * Whether the session can carry another request: nothing has failed on it, and
+ * the peer has neither closed it nor sent unsolicited data.
+ */
+bool soak_session_is_sound(const struct soak_session *session)
 {
-	return !connection->is_broken &&
-	       !g_socket_condition_check(connection->socket,
+	return !session->is_broken &&
+	       !g_socket_condition_check(session->socket,
 					 G_IO_IN | G_IO_HUP | G_IO_ERR);
 }
 
-/* Sends all of the text; false and an error where part of it may be left. */
-bool soak_session_send(struct soak_session *connection, const char *text,
-		       int64_t until_us, struct error *error)
+/*
+ * Sends the whole text. On failure returns false and sets the error; part of
+ * the text may have been sent.
+ */
+bool soak_session_send(struct soak_session *session, const char *text,
+		       int64_t deadline_us, struct error *error)
 {
 	gsize size = strlen(text);
 	gsize sent = 0;
 
 	while (sent < size) {
 		g_autoptr(GError) failure = NULL;
-		gssize count = g_socket_send(connection->socket, text + sent,
+		gssize count = g_socket_send(session->socket, text + sent,
 					     size - sent, NULL, &failure);
 
 		if (count > 0) {
@@ -150,9 +163,9 @@
 		}
 		if (g_error_matches(failure, G_IO_ERROR,
 				    G_IO_ERROR_WOULD_BLOCK) &&
-		    wait_for(connection->socket, G_IO_OUT, until_us))
+		    wait_for_socket(session->socket, G_IO_OUT, deadline_us))
 			continue;
-		connection->is_broken = true;
+		session->is_broken = true;
 		error_set(error, ERROR_CLOSED, STEP_SEND, NULL, "%s",
 			  failure ? failure->message : "closed");
 		return false;
@@ -160,7 +173,7 @@
 	return true;
 }
 
-static void take_header(struct reader *reader)
+static void store_header(struct reader *reader)
 {
 	struct soak_answer *answer = reader->answer;
 	const char *name = reader->field->str;
@@ -170,7 +183,7 @@
 		answer->retry_after_us =
 			(int64_t)(g_ascii_strtod(value, NULL) * G_USEC_PER_SEC);
 	else if (g_ascii_strcasecmp(name, "X-Siskinlink-Engine-Stamp") == 0)
-		answer->has_stamp = true;
+		answer->has_engine_stamp = true;
 	else if (g_ascii_strcasecmp(name, "X-Siskinlink-Request-Id") == 0)
 		answer->request_id = g_strdup(value);
 	g_string_truncate(reader->field, 0);
@@ -182,7 +195,7 @@
 	struct reader *reader = parser->data;
 
 	if (reader->value->len > 0)
-		take_header(reader);
+		store_header(reader);
 	g_string_append_len(reader->field, at, (gssize)size);
 	return 0;
 }
@@ -200,7 +213,7 @@
 	struct reader *reader = parser->data;
 
 	if (reader->value->len > 0)
-		take_header(reader);
+		store_header(reader);
 	reader->answer->status = parser->status_code;
 	return 0;
 }
@@ -217,14 +230,14 @@
 {
 	struct reader *reader = parser->data;
 
-	reader->is_whole = true;
-	reader->answer->keeps_open = http_should_keep_alive(parser);
+	reader->is_complete = true;
+	reader->answer->keeps_alive = http_should_keep_alive(parser);
 	http_parser_pause(parser, 1);
 	return 0;
 }
 
-/* Feeds what came; true while more of the answer is wanted. */
-static bool parser_take(http_parser *parser, const char *bytes, size_t size,
+/* Parses received bytes; returns true while the answer is incomplete. */
+static bool parser_feed(http_parser *parser, const char *bytes, size_t size,
 			enum soak_end *end)
 {
 	static const http_parser_settings settings = {
@@ -235,10 +248,10 @@
 		.on_message_complete = on_complete,
 	};
 	const struct reader *reader = parser->data;
-	size_t taken = http_parser_execute(parser, &settings, bytes, size);
+	size_t parsed = http_parser_execute(parser, &settings, bytes, size);
 
-	if (reader->is_whole) {
-		*end = taken < size ? SOAK_END_GARBLED : SOAK_END_WHOLE;
+	if (reader->is_complete) {
+		*end = parsed < size ? SOAK_END_GARBLED : SOAK_END_WHOLE;
 		return false;
 	}
 	if (HTTP_PARSER_ERRNO(parser) != HPE_OK)
@@ -248,8 +261,8 @@
 	return HTTP_PARSER_ERRNO(parser) == HPE_OK && size > 0;
 }
 
-static enum soak_end read_on(GSocket *socket, http_parser *parser,
-			     int64_t until_us, int64_t leave_bytes)
+static enum soak_end read_answer(GSocket *socket, http_parser *parser,
+				 int64_t deadline_us, int64_t stop_after_bytes)
 {
 	const struct reader *reader = parser->data;
 	enum soak_end end = SOAK_END_CLOSED;
@@ -259,7 +272,7 @@
 		g_autoptr(GError) failure = NULL;
 		gssize count;
 
-		if (!wait_for(socket, G_IO_IN, until_us))
+		if (!wait_for_socket(socket, G_IO_IN, deadline_us))
 			return SOAK_END_TIMEOUT;
 		count = g_socket_receive(socket, bytes, sizeof(bytes), NULL,
 					 &failure);
@@ -268,22 +281,23 @@
 			continue;
 		if (count < 0)
 			return SOAK_END_RESET;
-		if (!parser_take(parser, bytes, (size_t)count, &end))
+		if (!parser_feed(parser, bytes, (size_t)count, &end))
 			return end;
-		if (leave_bytes > 0 &&
-		    (int64_t)reader->answer->body->len >= leave_bytes)
+		if (stop_after_bytes > 0 &&
+		    (int64_t)reader->answer->body->len >= stop_after_bytes)
 			return SOAK_END_LEFT;
 	}
 }
 
 /*
- * Reads one answer until it is whole, broken, or late; with leave_bytes above
- * 0 only until so much of its body has come. Only a connection whose answer
- * came whole can be used again.
+ * Reads one answer until it is complete, the connection fails, or the deadline
+ * passes; with stop_after_bytes above 0, stops once that many body bytes have
+ * been received. The connection can be used again only after a complete answer
+ * that keeps it open.
  */
-enum soak_end soak_session_read(struct soak_session *connection,
-				struct soak_answer *answer, int64_t until_us,
-				int64_t leave_bytes)
+enum soak_end soak_session_read(struct soak_session *session,
+				struct soak_answer *answer, int64_t deadline_us,
+				int64_t stop_after_bytes)
 {
 	struct reader reader = {answer, g_string_new(NULL), g_string_new(NULL),
 				false};
@@ -292,21 +306,25 @@
 
 	http_parser_init(&parser, HTTP_RESPONSE);
 	parser.data = &reader;
-	end = read_on(connection->socket, &parser, until_us, leave_bytes);
-	connection->is_broken = end != SOAK_END_WHOLE || !answer->keeps_open;
+	end = read_answer(session->socket, &parser, deadline_us,
+			  stop_after_bytes);
+	session->is_broken = end != SOAK_END_WHOLE || !answer->keeps_alive;
 	g_string_free(reader.field, TRUE);
 	g_string_free(reader.value, TRUE);
 	return end;
 }
 
-/* One call on a connection of its own; true when any whole answer came. */
+/*
+ * Sends one request on a new connection. Returns true if a complete answer of
+ * any status was received; otherwise sets the error.
+ */
 bool soak_http_call(const char *address, const char *method, const char *path,
 		    const char *body, struct soak_answer *answer,
 		    int64_t timeout_us, struct error *error)
 {
-	int64_t until_us = g_get_monotonic_time() + timeout_us;
-	struct soak_session *connection =
-		soak_session_create(address, until_us, error);
+	int64_t deadline_us = g_get_monotonic_time() + timeout_us;
+	struct soak_session *session =
+		soak_session_create(address, deadline_us, error);
 	g_autofree char *text = g_strdup_printf(
 		"%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %" G_GSIZE_FORMAT
 		"\r\nConnection: close\r\n\r\n%s",
@@ -314,14 +332,14 @@
 		body ? body : "");
 	enum soak_end end = SOAK_END_REFUSED;
 
-	if (!connection)
+	if (!session)
 		return false;
-	if (soak_session_send(connection, text, until_us, error)) {
-		end = soak_session_read(connection, answer, until_us, 0);
+	if (soak_session_send(session, text, deadline_us, error)) {
+		end = soak_session_read(session, answer, deadline_us, 0);
 		if (end != SOAK_END_WHOLE)
 			error_set(error, ERROR_CLOSED, STEP_CALL, address, "%s",
 				  soak_end_name(end));
 	}
-	soak_session_destroy(connection);
+	soak_session_destroy(session);
 	return end == SOAK_END_WHOLE;
 }
--- a/tests/soak/soak_judge.h
+++ b/tests/soak/soak_judge.h
@@ -8,18 +8,19 @@
 
 G_BEGIN_DECLS
 
-/* A promise that was not kept. */
+/* A guarantee of the product that a run violated. */
 struct soak_find {
 	char *symptom;
-	char *request; /* NULL: it is about no single one */
+	char *request; /* NULL: not about a single request */
 	int64_t at_us;
 };
 
 /*
- * Holds what callers and engines saw against the promises; the product's own
- * word counts for nothing. The finds are the caller's.
+ * Checks what callers and engines recorded in a run against the product's
+ * guarantees; what the product states about itself is not evidence. The caller
+ * owns the findings (struct soak_find).
  */
-GPtrArray *soak_judge(const struct soak_schedule *schedule,
+GPtrArray *soak_check(const struct soak_schedule *schedule,
 		      const struct soak_evidence *evidence);
 
 G_END_DECLS
--- a/tests/soak/soak_link.c
+++ b/tests/soak/soak_link.c
@@ -19,13 +19,13 @@
 	[SOAK_LINK_HOLD] = {"hold", false, true},
 };
 
-/* As schedules and logs spell it. */
+/* Returns the name of a kind as schedules and logs print it. */
 const char *soak_link_kind_name(enum soak_link_kind kind)
 {
 	return kinds[kind].name;
 }
 
-/* False: no kind has this name. */
+/* Sets the kind of that name; returns false if there is none. */
 bool soak_link_kind_parse(const char *name, enum soak_link_kind *kind)
 {
 	for (int i = 0; i < SOAK_LINK_KINDS; i++) {
@@ -37,13 +37,15 @@
 	return false;
 }
 
-/* Whether nothing passes from the connecting party on, nor new connections. */
+/*
+ * Whether the link holds data from the connecting side, and new connections.
+ */
 bool soak_link_holds_forward(const struct soak_link *link)
 {
 	return kinds[link->kind].holds_forward;
 }
 
-/* Whether nothing comes back. */
+/* Whether the link holds data from the listening side. */
 bool soak_link_holds_back(const struct soak_link *link)
 {
 	return kinds[link->kind].holds_back;
--- a/tests/soak/soak_link.h
+++ b/tests/soak/soak_link.h
@@ -8,20 +8,20 @@
 G_BEGIN_DECLS
 
 /*
- * What a link between two parties does to their bytes. Forward is from the
- * party that connects to the one that listens.
+ * How a proxied link treats the bytes it carries. Forward is the direction from
+ * the connecting side to the listening side.
  */
 enum soak_link_kind {
 	SOAK_LINK_SOUND,
-	SOAK_LINK_DELAY,       /* each byte is later by delay_us */
+	SOAK_LINK_DELAY,       /* each byte is delayed by delay_us */
 	SOAK_LINK_RESET,       /* open and new connections are reset */
-	SOAK_LINK_CUT_FORWARD, /* held back until the link is sound again */
+	SOAK_LINK_CUT_FORWARD, /* held until the link is normal again */
 	SOAK_LINK_CUT_BACK,
 	SOAK_LINK_CUT_BOTH,
-	SOAK_LINK_SILENT,  /* what is open now passes nothing, for good */
-	SOAK_LINK_TRICKLE, /* a byte each delay_us */
-	SOAK_LINK_EXTRA,   /* after delay_us of rest, an answer nobody asked */
-	SOAK_LINK_HOLD,	   /* answers wait until the link is sound again */
+	SOAK_LINK_SILENT,  /* open connections never carry data again */
+	SOAK_LINK_TRICKLE, /* one byte per delay_us */
+	SOAK_LINK_EXTRA,   /* an unsolicited answer after delay_us idle */
+	SOAK_LINK_HOLD,	   /* answers are held until the link is normal */
 	SOAK_LINK_KINDS
 };
 
--- a/tests/soak/soak_listener.c
+++ b/tests/soak/soak_listener.c
@@ -8,15 +8,15 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* A node opens hundreds of connections at once after a pause. */
+/* Large, because a node opens hundreds of connections at once after a pause. */
 #define LISTEN_BACKLOG 512
 
 struct soak_listener {
 	GSocket *socket;
 	GSource *source; /* NULL: held */
-	GSocket *filler; /* of the queue while it is held, else NULL */
+	GSocket *filler; /* fills the accept queue while held, else NULL */
 	guint16 port;
-	guint16 filler_port; /* of the last one */
+	guint16 filler_port; /* local port of the last filler */
 	soak_listener_accepted accepted;
 	void *data;
 };
@@ -87,7 +87,10 @@
 	g_source_attach(listener->source, NULL);
 }
 
-/* Listens; NULL: the error says why not. */
+/*
+ * Listens and accepts connections on the default main context. The caller
+ * destroys the listener; on failure returns NULL and sets the error.
+ */
 struct soak_listener *soak_listener_create(soak_listener_accepted accepted,
 					   void *data, GError **error)
 {
@@ -111,7 +114,7 @@
 	g_clear_pointer(&listener->source, g_source_unref);
 }
 
-/* NULL is allowed. */
+/* Stops listening and frees the listener; NULL is allowed. */
 void soak_listener_destroy(struct soak_listener *listener)
 {
 	if (!listener)
@@ -122,13 +125,13 @@
 	g_free(listener);
 }
 
-/* Its port of 127.0.0.1. */
+/* Returns the listener's port on 127.0.0.1. */
 guint16 soak_listener_port(const struct soak_listener *listener)
 {
 	return listener->port;
 }
 
-/* The kernel takes the new bound on its queue from a second call as well. */
+/* A second listen() call changes the backlog of a listening socket. */
 static void set_backlog(const struct soak_listener *listener, int backlog)
 {
 	if (listen(g_socket_get_fd(listener->socket), backlog) != 0)
@@ -136,9 +139,10 @@
 }
 
 /*
- * The kernel completes connections that nobody accepts, up to the bound on its
- * queue; beyond it drops what asks for one, which then asks again each few
- * seconds. A queue of one with a connection of our own in it is full.
+ * Makes connecting to the listener hang. The kernel completes connections that
+ * are not accepted until the backlog is full; then it drops further SYNs, which
+ * the client resends every few seconds. A backlog of 0 leaves a queue of one,
+ * which a connection opened here (the filler) fills.
  */
 void soak_listener_hold(struct soak_listener *listener)
 {
@@ -158,13 +162,13 @@
 	soak_socket_hurry(listener->filler);
 	from = g_socket_get_local_address(listener->filler, NULL);
 	listener->filler_port = port_of(from);
-	/* If the queue is full without it, it hangs like all others. */
+	/* If the queue is already full, this one hangs like all others. */
 	g_socket_connect(listener->filler, to, NULL, NULL);
 }
 
 /*
- * Accepts again, at once what came before it was held: the filler is among it,
- * and must not be there when the listener is held again.
+ * Accepts connections again, first those already in the queue: the filler is
+ * among them and must be gone before the listener is held again.
  */
 void soak_listener_resume(struct soak_listener *listener)
 {
--- a/tests/soak/soak_listener.h
+++ b/tests/soak/soak_listener.h
@@ -6,13 +6,12 @@
 G_BEGIN_DECLS
 
 /*
- * A listening socket on a free port of 127.0.0.1 that can be as good as
- * unreachable: while it is held, connecting to it hangs, as through a network
- * that is cut.
+ * A listening socket on a free port of 127.0.0.1 that can be made unreachable:
+ * while it is held, connecting to it hangs, as in a network partition.
  */
 struct soak_listener;
 
-/* Takes the socket over. */
+/* Called for each accepted connection; takes ownership of the socket. */
 typedef void (*soak_listener_accepted)(void *data, GSocket *socket);
 
 struct soak_listener *soak_listener_create(soak_listener_accepted accepted,
--- a/tests/soak/soak_main.c
+++ b/tests/soak/soak_main.c
@@ -11,9 +11,9 @@
 
 #define STEP_OPTIONS "soak.options"
 #define DEFAULT_SECONDS 12
-#define MOST_SEEDS 100000
-#define STATUS_FIND 1
-#define STATUS_USE 2
+#define MAX_SEEDS 100000
+#define STATUS_FINDINGS 1
+#define STATUS_USAGE 2
 #define STATUS_NOT_RUN 3
 
 struct options {
@@ -23,11 +23,11 @@
 	char *programs;
 	int seconds;
 	int nodes;
-	int lists;
-	int shows;
-	int keeps;
-	uint32_t first;
-	uint32_t last;
+	int wants_list;
+	int wants_plan;
+	int keeps_logs;
+	uint32_t first_seed;
+	uint32_t last_seed;
 	bool has_no_faults;
 	GArray *kinds; /* enum soak_fault_kind; empty: all */
 	struct soak_sizes sizes;
@@ -45,23 +45,23 @@
 {
 	const char *text = options->seeds ? options->seeds : "1";
 	char *end;
-	guint64 first = g_ascii_strtoull(text, &end, 10);
-	guint64 last = first;
+	guint64 first_seed = g_ascii_strtoull(text, &end, 10);
+	guint64 last_seed = first_seed;
 
 	if (end != text && *end == '-') {
 		text = end + 1;
-		last = g_ascii_strtoull(text, &end, 10);
+		last_seed = g_ascii_strtoull(text, &end, 10);
 	}
-	if (end == text || *end || first > last || last > G_MAXUINT32 ||
-	    last - first >= MOST_SEEDS) {
+	if (end == text || *end || first_seed > last_seed ||
+	    last_seed > G_MAXUINT32 || last_seed - first_seed >= MAX_SEEDS) {
 		error_set(error, ERROR_INVALID, STEP_OPTIONS, NULL,
-			  "--seeds %s: expected N or A-B, rising, from 0 to "
-			  "%u, at most %d of them",
-			  options->seeds, G_MAXUINT32, MOST_SEEDS);
+			  "--seeds %s: expected N or A-B with A <= B, from 0 "
+			  "to %u, at most %d seeds",
+			  options->seeds, G_MAXUINT32, MAX_SEEDS);
 		return false;
 	}
-	options->first = (uint32_t)first;
-	options->last = (uint32_t)last;
+	options->first_seed = (uint32_t)first_seed;
+	options->last_seed = (uint32_t)last_seed;
 	return true;
 }
 
@@ -80,8 +80,8 @@
 	for (guint i = 0; names[i]; i++) {
 		if (!soak_fault_kind_parse(names[i], &kind)) {
 			error_set(error, ERROR_INVALID, STEP_OPTIONS, NULL,
-				  "--only %s: expected \"none\" or kinds of "
-				  "--list, with commas",
+				  "--only %s: expected \"none\" or kinds from "
+				  "--list, separated by commas",
 				  names[i]);
 			return false;
 		}
@@ -102,7 +102,7 @@
 		if (g_file_test(path, G_FILE_TEST_IS_EXECUTABLE))
 			continue;
 		error_set(error, ERROR_INVALID, STEP_OPTIONS, NULL,
-			  "--programs %s: no program %s there",
+			  "--programs %s: no executable %s in it",
 			  options->programs, names[i]);
 		return false;
 	}
@@ -114,7 +114,7 @@
 	if (g_mkdir_with_parents(options->folder, 0755) == 0)
 		return true;
 	error_set(error, ERROR_INVALID, STEP_OPTIONS, NULL,
-		  "--folder %s: can't be made", options->folder);
+		  "--folder %s: cannot be created", options->folder);
 	return false;
 }
 
@@ -137,8 +137,8 @@
 	}
 }
 
-static struct soak_schedule *schedule_of(const struct options *options,
-					 uint32_t seed)
+static struct soak_schedule *schedule_build(const struct options *options,
+					    uint32_t seed)
 {
 	struct soak_schedule *schedule =
 		soak_schedule_create(seed, &options->sizes);
@@ -150,8 +150,8 @@
 	return schedule;
 }
 
-static void print_repeat(const struct options *options, uint32_t seed,
-			 const char *folder)
+static void print_repeat_command(const struct options *options, uint32_t seed,
+				 const char *folder)
 {
 	printf("repeat with: soak --programs %s --seeds %u --seconds %d",
 	       options->programs, seed, options->seconds);
@@ -175,30 +175,33 @@
 	g_rmdir(folder);
 }
 
-/* Judges a run; true when it is clean, and its logs are dropped then. */
-static bool judge_run(const struct options *options,
+/*
+ * Checks the evidence of a run and prints the result. Returns true if there are
+ * no findings; the logs are then removed unless --keep is given.
+ */
+static bool check_run(const struct options *options,
 		      const struct soak_schedule *schedule,
 		      const struct soak_evidence *evidence, const char *folder)
 {
-	g_autoptr(GPtrArray) finds = soak_judge(schedule, evidence);
+	g_autoptr(GPtrArray) findings = soak_check(schedule, evidence);
 	g_autofree char *merged = g_build_filename(folder, "merged.log", NULL);
 	struct error error = {0};
 
-	soak_report_print(schedule, evidence, finds);
-	if (finds->len == 0 && !options->keeps) {
+	soak_report_print(schedule, evidence, findings);
+	if (findings->len == 0 && !options->keeps_logs) {
 		folder_remove(folder);
 		return true;
 	}
 	if (!soak_report_write_merged(evidence, merged, &error))
 		fprintf(stderr, "soak: %s\n", error.detail);
-	print_repeat(options, schedule->seed, folder);
+	print_repeat_command(options, schedule->seed, folder);
 	fflush(stdout);
-	return finds->len == 0;
+	return findings->len == 0;
 }
 
 static int run_seed(const struct options *options, uint32_t seed)
 {
-	struct soak_schedule *schedule = schedule_of(options, seed);
+	struct soak_schedule *schedule = schedule_build(options, seed);
 	g_autofree char *plan = soak_schedule_print(schedule);
 	g_autofree char *name = g_strdup_printf(
 		"%s-%u", options->only ? options->only : "mixed", seed);
@@ -208,7 +211,7 @@
 	struct error error = {0};
 	int status = STATUS_NOT_RUN;
 
-	if (options->shows)
+	if (options->wants_plan)
 		fputs(plan, stdout);
 	folder_remove(folder);
 	g_mkdir_with_parents(folder, 0755);
@@ -219,9 +222,9 @@
 		fprintf(stderr, "soak: seed %u: %s %s: %s\n", seed, error.step,
 			error.peer, error.detail);
 	else
-		status = judge_run(options, schedule, evidence, folder)
+		status = check_run(options, schedule, evidence, folder)
 				 ? 0
-				 : STATUS_FIND;
+				 : STATUS_FINDINGS;
 	soak_evidence_destroy(evidence);
 	soak_schedule_destroy(schedule);
 	return status;
@@ -231,39 +234,40 @@
 {
 	int32_t counts[STATUS_NOT_RUN + 1] = {0};
 
-	for (uint64_t seed = options->first;
-	     seed <= options->last && !interrupted; seed++)
+	for (uint64_t seed = options->first_seed;
+	     seed <= options->last_seed && !interrupted; seed++)
 		counts[run_seed(options, (uint32_t)seed)]++;
 	printf("soak: %d seeds clean, %d with finds, %d not run\n", counts[0],
-	       counts[STATUS_FIND], counts[STATUS_NOT_RUN]);
-	if (counts[STATUS_FIND])
-		return STATUS_FIND;
+	       counts[STATUS_FINDINGS], counts[STATUS_NOT_RUN]);
+	if (counts[STATUS_FINDINGS])
+		return STATUS_FINDINGS;
 	return counts[STATUS_NOT_RUN] ? STATUS_NOT_RUN : 0;
 }
 
 static bool options_parse(struct options *options, int argc, const char **argv)
 {
 	struct poptOption table[] = {
-		{"seed", 0, POPT_ARG_STRING, &options->seeds, 0, "one run",
-		 "N"},
+		{"seed", 0, POPT_ARG_STRING, &options->seeds, 0,
+		 "run this seed", "N"},
 		{"seeds", 0, POPT_ARG_STRING, &options->seeds, 0,
-		 "a run for each", "A-B"},
+		 "run each of these seeds", "A-B"},
 		{"only", 0, POPT_ARG_STRING, &options->only, 0,
-		 "faults of these kinds; none: no faults", "KIND[,KIND]"},
+		 "use only faults of these kinds; none: no faults",
+		 "KIND[,KIND]"},
 		{"seconds", 0, POPT_ARG_INT, &options->seconds, 0,
-		 "of load in each run", "S"},
+		 "duration of the load in each run", "S"},
 		{"nodes", 0, POPT_ARG_INT, &options->nodes, 0,
-		 "instead of the seed's 3 to 9", "COUNT"},
+		 "number of nodes (default: 3 to 9, by seed)", "COUNT"},
 		{"folder", 0, POPT_ARG_STRING, &options->folder, 0,
-		 "for logs; those of clean runs are dropped", "FOLDER"},
+		 "folder for logs; those of clean runs are removed", "FOLDER"},
 		{"programs", 0, POPT_ARG_STRING, &options->programs, 0,
-		 "where the programs are", "FOLDER"},
-		{"list", 0, POPT_ARG_NONE, &options->lists, 0,
-		 "the kinds of faults", NULL},
-		{"show", 0, POPT_ARG_NONE, &options->shows, 0,
-		 "each run's faults before it", NULL},
-		{"keep", 0, POPT_ARG_NONE, &options->keeps, 0,
-		 "the logs of clean runs as well", NULL},
+		 "folder of the programs under test", "FOLDER"},
+		{"list", 0, POPT_ARG_NONE, &options->wants_list, 0,
+		 "list the kinds of faults and exit", NULL},
+		{"show", 0, POPT_ARG_NONE, &options->wants_plan, 0,
+		 "print the faults of each run before it starts", NULL},
+		{"keep", 0, POPT_ARG_NONE, &options->keeps_logs, 0,
+		 "keep the logs of clean runs as well", NULL},
 		POPT_AUTOHELP POPT_TABLEEND};
 	poptContext context = poptGetContext(NULL, argc, argv, table, 0);
 	int rc;
@@ -287,13 +291,13 @@
 	struct sigaction action = {.sa_handler = on_signal};
 	struct error error = {0};
 
-	if (options->lists) {
+	if (options->wants_list) {
 		list_kinds();
 		return 0;
 	}
 	if (!options_check(options, &error)) {
 		fprintf(stderr, "soak: %s\n", error.detail);
-		return STATUS_USE;
+		return STATUS_USAGE;
 	}
 	sigaction(SIGINT, &action, NULL);
 	sigaction(SIGTERM, &action, NULL);
@@ -304,7 +308,7 @@
 int main(int argc, const char **argv)
 {
 	struct options options = {.seconds = DEFAULT_SECONDS};
-	int status = STATUS_USE;
+	int status = STATUS_USAGE;
 
 	options.kinds = g_array_new(FALSE, FALSE, sizeof(enum soak_fault_kind));
 	if (options_parse(&options, argc, argv)) {
