--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# siskinlink: `make demo` shows the main job, `make check` runs every test.
+# siskinlink: `make demo` runs the main scenario, `make check` every test.
 
 B ?= build
 CC = gcc
@@ -99,11 +99,11 @@
 	@mkdir -p $(@D)
 	$(CXX) $(ALL_LDFLAGS) -o $@ $^ -lgtest -lgtest_main $(PACKAGE_LIBS)
 
-# Every test. The scripted runs read their scripts from tests/scripts.
+# Runs every test. The script tests read their scripts from tests/scripts.
 check: unit pure api faults gateway $(if $(filter 1,$(SANITIZE)),,spec mutants)
 
-# Tests of KNOWN-RED.txt run as well; what they say is printed and decides
-# nothing. A line: "unit PATTERN | cause | issue", or "gateway CASE | ...".
+# Tests listed in KNOWN-RED.txt run as well; their results are printed and
+# ignored. Line format: "unit PATTERN | cause | issue", or "gateway CASE | ...".
 RED_UNITS := $(shell sed -n 's/^unit \([^ ]*\) .*/\1/p' KNOWN-RED.txt 2>/dev/null \
 	| paste -sd:)
 unit: $(TESTS) $(PROGRAMS)
@@ -112,44 +112,44 @@
 	$(if $(RED_UNITS),SISKINLINK_BIN=$(abspath $(B)/bin) $(TESTS) \
 		--gtest_filter='$(RED_UNITS)' || echo "known red: $(RED_UNITS)")
 
-# More random scripts of calls and faults: make soak SEEDS=20000
+# Runs more random scripts of calls and faults: make soak SEEDS=20000
 SEEDS ?= 5000
 soak: $(TESTS)
 	SEEDS=$(SEEDS) $(TESTS) --gtest_filter='*Differential.*'
 
-# The real programs with faults from outside: make soak-processes SEEDS=1-50
+# Runs the programs with injected faults: make soak-processes SEEDS=1-50
 SOAK_SEEDS = $(if $(filter file,$(origin SEEDS)),1-3,$(SEEDS))
 soak-processes: $(PROGRAMS) $(SOAK_PROGRAM)
 	$(SOAK_PROGRAM) --programs $(abspath $(B)/bin) \
 		--folder $(abspath $(B)/soak) --seeds $(SOAK_SEEDS) $(SOAK_ARGS)
 
-# Seeds of KNOWN-RED.txt, "soak SEED | ...": they play, and decide nothing.
+# Seeds listed in KNOWN-RED.txt as "soak SEED | ...": results are ignored.
 RED_SEEDS := $(shell sed -n 's/^soak \([0-9]*\) .*/\1/p' KNOWN-RED.txt 2>/dev/null)
 soak-known-red: $(PROGRAMS) $(SOAK_PROGRAM)
 	$(foreach seed,$(RED_SEEDS),$(SOAK_PROGRAM) \
 		--programs $(abspath $(B)/bin) --folder $(abspath $(B)/soak) \
 		--seeds $(seed) --seconds 12 || echo "known red: soak $(seed)";)
 
-# The curl lines of docs/API.md, and faults of whole processes.
+# Runs the curl lines of docs/API.md, and the tests of process faults.
 api: $(PROGRAMS)
 	tests/api.sh $(abspath $(B)/bin)
 
 faults: $(PROGRAMS)
 	tests/faults.sh $(abspath $(B)/bin)
 
-# The gateway as whole processes, before stand-ins of the platform.
+# Tests the gateway as a process against fakes of the platform.
 gateway: $(PROGRAMS)
 	tests/gateway.sh $(abspath $(B)/bin)
 
-# The core has no clock, socket, thread or source of randomness.
+# Checks that the core uses no clock, socket, thread or randomness.
 pure: $(LIBRARY)
 	tests/pure.sh $(call objects,$(PURE_SOURCES))
 
-# The models, and that each of their safeguards is needed.
+# Checks the models, and that each of their safeguards is needed.
 spec:
 	spec/run.sh $(abspath $(B)/spec)
 
-# Each safeguard in turn left out: the tests named for it must fail then.
+# Removes one safeguard at a time; the tests named for it must then fail.
 mutants: $(TESTS)
 	tests/mutants.sh $(abspath $(B))
 
@@ -157,20 +157,20 @@
 	$(MAKE) all
 	./demo.sh $(abspath $(B)/bin)
 
-# The gateway before stand-ins of the platform: an engine crashes and another
-# leaves in the middle of a report, and a node stops.
+# Runs the gateway against fakes of the platform: an engine crashes and another
+# leaves during a report, and a node stops.
 demo-platform: install-deps
 	$(MAKE) all
 	tests/gateway.sh $(abspath $(B)/bin) passes_requests_on \
 		goes_on_after_a_crash leaves_an_engine_under_notice drains
 
-# Skipped where everything is already there.
+# Does nothing if all packages are already installed.
 install-deps:
 	@dpkg -s $(APT_PACKAGES) >/dev/null 2>&1 || \
 		{ apt-get update && apt-get install -y $(APT_PACKAGES); }
 
-# Parsers of what arrives from outside: a target each, built by clang's fuzzer
-# into build/fuzz. fuzz-short repeats the same runs each time.
+# One fuzz target for each parser of external input, built with clang's fuzzer
+# in build/fuzz. fuzz-short uses a fixed seed, so each run is the same.
 FUZZ_RUNS ?= 20000
 FUZZ_TARGETS = $(patsubst fuzz/%.c,$(B)/bin/%,$(wildcard fuzz/*_fuzz.c))
 fuzz-short:
--- a/bench/ablation.sh
+++ b/bench/ablation.sh
@@ -1,13 +1,13 @@
 #!/bin/sh
-# Makes copies of the sources with one mechanism left out in each, to measure
-# what it is worth, and runs a command in every copy.
+# Copies the sources with one mechanism removed from each copy, to measure the
+# effect of the mechanism, and runs a command in every copy.
 #
 #     bench/ablation.sh FOLDER [-c COMMAND] [ABLATION...]
 #
-# A file of bench/ablation names the mechanism and its file, then gives texts
-# "--- with" it, each there exactly once, and what stands there "--- without"
-# it. The copies are FOLDER/NAME, and FOLDER/whole with nothing left out;
-# COMMAND is run there by the shell, one copy after the other.
+# A file of bench/ablation names the mechanism and its source file, then gives
+# text sections: "--- with" quotes source text that occurs exactly once, and
+# "--- without" its replacement. The copies are FOLDER/NAME, and FOLDER/whole
+# with nothing removed; the shell runs COMMAND in one copy after the other.
 set -eu
 cd "$(dirname "$0")/.."
 . tests/mutate.sh
--- a/bench/overhead.sh
+++ b/bench/overhead.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# overhead.sh BIN: what a node costs beside the engine itself, on fakes over
-# loopback, all in one run: start-up time, resident memory idle and for each
-# open stream, delay added to each token, processor time for each token.
+# overhead.sh BIN: measures in one run the overhead of a node, with fakes over
+# loopback: start-up time, resident memory when idle and per open stream, added
+# delay per token, processor time per token.
 set -euo pipefail
 
 bin=$1
@@ -10,7 +10,7 @@
 starts=${STARTS:-20}
 streams=${STREAMS:-400}
 
-# start_us PROGRAM ARGUMENTS...: median time to the line "listening".
+# start_us PROGRAM ARGUMENTS...: median time until it prints "listening".
 start_us() {
 	local begun
 
@@ -33,7 +33,7 @@
 		"/proc/$1/stat"
 }
 
-# value FILE NAME: a figure that stream_bench printed.
+# value FILE NAME: prints a value from the output of stream_bench.
 value() {
 	tr ' ' '\n' <"$1" | awk -F= -v name="$2" '$1 == name { print $2 }'
 }
--- a/demo.sh
+++ b/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The main job on fakes: three nodes in three failure domains, three engines,
-# one plain service, the key-value service and the VM list, all on loopback.
+# Runs the main scenario on fakes: three nodes in three failure domains, three
+# engines, one plain service, the key-value service and the VM list, all on
+# loopback.
 set -euo pipefail
 
 bin=$1
--- a/fuzz/run.sh
+++ b/fuzz/run.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# run.sh RUNS TARGET...: runs each fuzz target on its seeds and so many inputs
-# made from them, by a fixed seed; fails at the first input that fails.
+# run.sh RUNS TARGET...: runs each fuzz target on its corpus and on RUNS
+# inputs mutated from it with a fixed seed; stops at the first failing input.
 runs=$1
 shift
 seeds=$(dirname "$0")/corpus
--- a/spec/changes.pml
+++ b/spec/changes.pml
@@ -1,22 +1,21 @@
 /*
- * How a generation changes its engine (core/gateway/evacuation.c,
- * adapters/gateway/exchange_recover.c).
+ * Model of a generation that moves to another engine
+ * (core/gateway/evacuation.c, adapters/gateway/exchange_recover.c).
  *
- * One run makes PIECES pieces. Engine 0 runs it, engine 1 may hold a copy of
- * its memory, or not. The gateway may ask engine 1 to go on behind the last
- * piece that the caller has, while engine 0 still works; engine 1 answers that
- * it has no copy, or goes on. Either engine may go at any point, with what it
- * has sent still on the way or lost; the caller may leave.
+ * One run generates PIECES pieces. Engine 0 runs it; engine 1 may hold a copy
+ * of its memory. While engine 0 still works, the gateway may request engine 1
+ * to continue after the last piece that the caller has; engine 1 continues, or
+ * answers that it has no copy. Either engine may fail or end at any point, with
+ * its pieces still in transit or lost; the caller may disconnect.
  *
  * Checked: the caller gets the pieces of one run, each once and in order; an
- * answer is whole only with its last piece; no piece of the other engine is
- * taken before the first one is let go; in the end no engine works on the run,
- * and no connection to one is open. Assumed: what an engine sends
- * on one connection arrives in order or not at all, and a closed connection
- * stops its engine.
+ * answer is complete only with its last piece; no piece of engine 1 is accepted
+ * before engine 0 is released; in the end no engine works on the run, and no
+ * connection to an engine is open. Assumed: the messages on one connection
+ * arrive in order or not at all, and a closed connection stops its engine.
  *
- * Each MUTANT_n leaves one safeguard out; spec/run.sh shows that spin then
- * finds a run that breaks a property.
+ * Each MUTANT_n removes one safeguard; spec/run.sh checks that spin then finds
+ * an execution that violates a property.
  */
 
 #define PIECES 3
@@ -24,17 +23,17 @@
 
 mtype = { piece, finished, no_copy };
 
-/* From engine to gateway: what, number, of which run. */
+/* From engine to gateway: message type, piece number, run. */
 chan sent[2] = [PIECES + 2] of { mtype, byte, byte };
 bool closed[2];	 /* the gateway closed the connection */
-bool gone[2];	 /* the engine broke off */
-bool works[2];	 /* the engine is at work on the run */
+bool gone[2];	 /* the engine failed or ended */
+bool works[2];	 /* the engine runs the generation */
 bool asked = false;
 byte ask_after = 0;
 bool has_copy = false;
 
 byte delivered = 0; /* pieces that the caller has */
-byte text = 0;	    /* whose pieces they are; 0: none yet */
+byte text = 0;	    /* the run that they belong to; 0: no piece yet */
 bool whole = false;
 bool broken = false;
 bool caller_left = false;
@@ -98,7 +97,7 @@
 
 inline deliver(number, whose)
 {
-#ifdef MUTANT_2 /* pieces that the caller has are passed on again */
+#ifdef MUTANT_2 /* pieces that the caller has are forwarded again */
 	take(number, whose)
 #else
 	if
@@ -126,7 +125,7 @@
 inline let_first_go()
 {
 	serving = 1;
-#ifndef MUTANT_3 /* the first engine is not let go */
+#ifndef MUTANT_3 /* the first engine is not released */
 	closed[0] = true
 #endif
 }
@@ -134,7 +133,7 @@
 inline ask()
 {
 	asked = true;
-#ifdef MUTANT_4 /* behind what has arrived, not behind what was passed on */
+#ifdef MUTANT_4 /* continues after the received pieces, not the forwarded */
 	ask_after = delivered + len(sent[0])
 #else
 	ask_after = delivered
@@ -145,12 +144,12 @@
 {
 	byte serving = 0;
 	byte number, whose;
-	bool dropped = false; /* the other engine turned out not to have it */
+	bool dropped = false; /* the other engine has no copy */
 
 	do
 	:: whole || broken || caller_left -> break
 
-	/* What the first engine says, as long as it serves. */
+	/* A message of the first engine while it serves the run. */
 	:: serving == 0 && !whole && !broken && nempty(sent[0]) ->
 		atomic {
 			if
@@ -161,10 +160,10 @@
 			fi
 		}
 
-	/* It has gone, and what arrived of it was read. */
+	/* The first engine has failed or ended, and its messages were read. */
 	:: serving == 0 && !whole && !broken && gone[0] && empty(sent[0]) ->
 		atomic {
-#ifdef MUTANT_5 /* an answer that breaks off is taken for its end */
+#ifdef MUTANT_5 /* a broken answer is treated as complete */
 			end_whole()
 #else
 			if
@@ -175,14 +174,14 @@
 #endif
 		}
 
-	/* Under notice: the other one is asked while this one works. */
+	/* Termination notice: the other engine is asked while this one works. */
 	:: serving == 0 && !whole && !broken && !asked -> atomic { ask() }
 
-	/* It has not answered in time: the first one is let go. */
+	/* The other engine did not answer in time: the first is released. */
 	:: serving == 0 && !whole && !broken && asked && !dropped ->
 		atomic { let_first_go() }
 
-	/* What the other engine says. */
+	/* A message of the other engine. */
 	:: !whole && !broken && !dropped && nempty(sent[1]) ->
 		atomic {
 			if
@@ -210,7 +209,7 @@
 	:: !whole && !broken ->
 		atomic {
 			caller_left = true;
-#ifndef MUTANT_6 /* the engine that was asked is forgotten */
+#ifndef MUTANT_6 /* the connection to the other engine stays open */
 			closed[1] = true;
 #endif
 			closed[0] = true
@@ -218,7 +217,7 @@
 	od
 }
 
-/* When all has come to rest, no connection is open and no engine works. */
+/* Once no transition is enabled, no connection is open and no engine works. */
 active proctype rest()
 {
 	(whole || broken || caller_left);
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,20 +1,20 @@
 /*
- * How a non-idempotent request runs at most once (core/node/node_id.c,
+ * Model of how a non-idempotent request runs at most once (core/node/node_id.c,
  * node_claim.c).
  *
  * One request id, sent up to SENDS times to either of two nodes. The id is
  * either issued (it names node 0 and its first incarnation: only that process
  * may send it to an endpoint) or plain (a node claims it in the key-value
- * service first). A node may be paused at any point, which is how processes
- * interleave here, or be replaced by a new incarnation at the same address
- * with an empty memory. Answers of the service and of endpoints are lost; a
+ * service first). A node may be paused at any point, which the interleaving of
+ * processes covers, or be replaced by a new incarnation at the same address
+ * with empty memory. Answers of the service and of endpoints may be lost; a
  * write whose answer was lost may still be applied much later.
  *
- * Checked: the endpoint runs the request at most once, and a caller told "not
- * run" is told the truth. Assumed: a claim outlives the callers' resending.
+ * Checked: the endpoint runs the request at most once, and a request answered
+ * "not run" did not run. Assumed: a claim outlives the callers' retries.
  *
- * Each MUTANT_n leaves one safeguard out; spec/run.sh shows that spin then
- * finds a run that breaks a property.
+ * Each MUTANT_n removes one safeguard; spec/run.sh checks that spin then finds
+ * an execution that violates a property.
  */
 
 #define SENDS 3
@@ -28,23 +28,23 @@
 
 mtype kind;
 byte runs = 0;		    /* by endpoints */
-bool dispatched[SENDS];	    /* bytes of this send may have left */
-bool expired = false;	    /* the id is older than outcomes are kept */
+bool dispatched[SENDS];	    /* this send may have reached an endpoint */
+bool expired = false;	    /* the retention time of outcomes has passed */
 byte losses = 0;
 
-/* The claim: who holds it. incarnation 0: nobody. */
+/* Holder of the claim; claim_incarnation 0: unclaimed. */
 byte claim_node = 0;
 byte claim_incarnation = 0;
 byte claim_nonce = 0;
 
-/* A write that the service has not applied yet although it was given up. */
+/* A write whose answer was lost and that may still be applied. */
 bool late = false;
 byte late_node, late_incarnation, late_nonce;
 
 chan calls[2] = [SENDS] of { byte, bool };	   /* send, forwarded */
 chan puts = [4] of { byte, byte, byte };	   /* node, incarnation, nonce */
 chan gets = [4] of { byte, byte };
-/* incarnation asked, outcome, claim: node, incarnation, nonce */
+/* incarnation of the requester, outcome, claim: node, incarnation, nonce */
 chan put_answers[2] = [4] of { byte, mtype, byte, byte, byte };
 chan get_answers[2] = [4] of { byte, mtype, byte, byte, byte };
 chan work = [SENDS + 1] of { byte, byte, byte };   /* node, incarnation, send */
@@ -52,7 +52,7 @@
 
 inline apply(node, incarnation, nonce)
 {
-#ifdef MUTANT_3 /* the write does not ask that the key be absent */
+#ifdef MUTANT_3 /* the write does not require that the key is absent */
 	claim_node = node;
 	claim_incarnation = incarnation;
 	claim_nonce = nonce;
@@ -169,10 +169,10 @@
 	assert(!dispatched[current])
 }
 
-/* The request leaves for an endpoint, or certainly does not. */
+/* Sends the request to an endpoint, or fails before anything was sent. */
 inline dispatch()
 {
-#ifndef MUTANT_5 /* what was sent is not remembered */
+#ifndef MUTANT_5 /* the dispatch is not recorded */
 	state = running;
 #else
 	state = not_run;
@@ -187,12 +187,12 @@
 	fi
 }
 
-/* Ask the issuer or the holder of the claim, who may be gone. */
+/* Forwards to the issuer or the claim holder, which may have stopped. */
 inline forward(send, was_forwarded, to)
 {
 	if
 	:: !was_forwarded -> calls[to] ! send, true
-	:: true -> skip /* told "unknown" */
+	:: true -> skip /* answered "unknown" */
 	fi
 }
 
@@ -204,7 +204,7 @@
 		claimed = true;
 		dispatch()
 	:: else ->
-#ifdef MUTANT_6 /* one's own claim is not told apart by its nonce */
+#ifdef MUTANT_6 /* the node's own claims are not distinguished by nonce */
 		if
 		:: holder == me && holder_incarnation == incarnation ->
 			claimed = true;
@@ -219,7 +219,7 @@
 		phase = idle;
 		if
 		:: holder == me && holder_incarnation == incarnation ->
-			skip /* forgotten: told "unknown" */
+			skip /* outcome expired: answered "unknown" */
 		:: else -> forward(current, forwarded, holder)
 		fi
 #endif
@@ -245,7 +245,7 @@
 {
 	if
 	:: me != 0 ->
-#ifdef MUTANT_2 /* run here when the issuer seems to be gone */
+#ifdef MUTANT_2 /* another node runs it when the issuer seems to have failed */
 		if
 		:: forward(got, got_forwarded, 0)
 		:: state == none -> enter(); dispatch()
@@ -253,16 +253,16 @@
 #else
 		forward(got, got_forwarded, 0)
 #endif
-#ifndef MUTANT_1 /* a replaced issuer takes the old one's ids for its own */
+#ifndef MUTANT_1 /* a new incarnation accepts ids issued by the previous one */
 	:: me == 0 && incarnation != 1 -> skip /* unknown */
 #endif
-#ifndef MUTANT_4 /* an id is still taken after its outcome was forgotten */
+#ifndef MUTANT_4 /* an id is still accepted after its outcome expired */
 	:: me == 0 && expired -> skip /* unknown */
 #endif
 	:: else ->
 		if
 		:: state == none || state == not_run -> enter(); dispatch()
-		:: else -> skip /* joins, is replayed, or told "unknown" */
+		:: else -> skip /* joins, is replayed, or answered "unknown" */
 		fi
 	fi
 }
@@ -282,7 +282,7 @@
 	fi
 }
 
-/* Variables that no later event reads must not tell states apart. */
+/* Resets variables that no later event reads, to merge equivalent states. */
 inline rest()
 {
 	got = 0;
@@ -306,7 +306,7 @@
 	bool claimed = false;
 	bool forwarded = false;
 	byte nonce = 0, nonces = 0;
-	byte current = 0, asked; /* current: the send that is under way */
+	byte current = 0, asked; /* current: the send in progress */
 	byte got;
 	bool got_forwarded;
 	byte holder, holder_incarnation, holder_nonce;
@@ -334,7 +334,7 @@
 				phase = idle;
 				tell_not_run()
 			:: outcome == lost ->
-#ifdef MUTANT_7 /* a lost answer is taken for success */
+#ifdef MUTANT_7 /* a lost answer counts as success */
 				claimed = true;
 				dispatch()
 #else
@@ -377,13 +377,13 @@
 			fi
 		fi;
 		rest() }
-	/* Outcomes are kept for a time, then the id is as never seen. */
+	/* The outcome expires; the id is then unknown to the node. */
 	:: atomic { expired && phase == idle && state != none &&
 			state != pending ->
 		state = none;
 		claimed = false;
 		nonce = 0 }
-	/* Replaced: the address is the same, the memory is gone. */
+	/* Replaced by a process at the same address with empty memory. */
 	:: atomic { incarnation < INCARNATIONS ->
 		incarnation++;
 		state = none;
--- a/spec/orders.pml
+++ b/spec/orders.pml
@@ -1,27 +1,28 @@
 /*
- * How orders reach an engine (core/lease/holder.c, core/rollout/rollout.c).
+ * Model of how orders reach an engine (core/lease/holder.c,
+ * core/rollout/rollout.c).
  *
- * Two nodes want the key that lets its holder give orders; it hangs on a
- * lease. A holder may be paused after it looked at its lease, which then
- * lapses, and act when it wakes: its order is on its way then, and others
- * come before it. The second holder rolls out a newer target than the first.
- * One engine checks the fencing number, the other ignores it.
+ * Two nodes compete for the key whose holder may send orders; the key is bound
+ * to a lease. A holder may be paused after it checked its lease, which then
+ * expires, and send its order after it resumes, so that the orders of a later
+ * holder arrive first. The second holder rolls out a newer target than the
+ * first. One engine checks the fencing number, the other ignores it.
  *
- * Checked: the engine that checks takes no order of a holder after one of a
- * later holder; when nothing moves any more, both run the newest target.
+ * Checked: the engine that checks accepts no order of a holder after one of a
+ * later holder; once no transition is enabled, both run the newest target.
  *
- * Each MUTANT_n leaves one safeguard out; see spec/run.sh.
+ * Each MUTANT_n removes one safeguard; see spec/run.sh.
  */
 
-#define HOLDS 3 /* times the key is taken */
+#define HOLDS 3 /* times the key is acquired */
 
 byte key_holder = 0;	/* 0: free, else node + 1 */
-byte holds = 0;		/* how often the key was taken */
-byte fence = 0;		/* of the key: rises each time it is created */
+byte holds = 0;		/* times the key was acquired so far */
+byte fence = 0;		/* fencing number: rises each time the key is created */
 byte targets_made = 0;	/* targets confirmed: 1, then 2 */
 byte target[2] = 0;	/* engine 0 checks, engine 1 does not */
-byte taken = 0;		/* highest number the checking engine has taken */
-byte taken_hold = 0;	/* and in truth the latest hold */
+byte taken = 0;		/* highest number that the checking engine accepted */
+byte taken_hold = 0;	/* latest hold whose order it accepted */
 chan orders = [2] of { byte, byte, byte, byte }; /* engine, fence, target, hold */
 
 /* A newer target is confirmed while the first is being rolled out. */
@@ -31,7 +32,7 @@
 	targets_made = 2
 }
 
-/* The lease lapses at any time, also under a holder that is paused. */
+/* The lease may expire at any time, also while its holder is paused. */
 active proctype lease()
 {
 	byte lapses = 0;
@@ -43,7 +44,7 @@
 	od
 }
 
-/* Orders arrive late; each may be lost. */
+/* Orders may be delayed or lost. */
 active proctype network()
 {
 	byte engine, number, wanted, hold;
@@ -53,8 +54,8 @@
 		if
 		:: engine == 0 ->
 			if
-#ifndef MUTANT_1 /* nobody checks the number */
-			:: number < taken -> skip /* refused */
+#ifndef MUTANT_1 /* the engine does not check the number */
+			:: number < taken -> skip /* rejected */
 #endif
 			:: else ->
 				assert(hold >= taken_hold);
@@ -77,7 +78,7 @@
 proctype node(byte me)
 {
 	byte my_fence = 0, my_hold = 0, wanted = 0, engine = 0;
-	byte given = 0; /* the hold in which it gave its one order */
+	byte given = 0; /* the hold in which it sent its only order */
 	bool looked = false;
 
 end:	do
@@ -92,13 +93,13 @@
 		fence = 1;
 #endif
 		my_fence = fence }
-	/* What to order: the newest target, where the engine runs another. */
+	/* Orders the newest target if the engine runs another one. */
 	:: atomic { my_fence != 0 && HOLDS_KEY && !looked &&
 			target[0] != targets_made ->
 		engine = 0;
 		wanted = targets_made;
 		looked = true }
-#ifndef MUTANT_3 /* nothing is read back and corrected */
+#ifndef MUTANT_3 /* the engine's target is not read back and corrected */
 	:: atomic { my_fence != 0 && HOLDS_KEY && !looked &&
 			target[1] != targets_made ->
 #else
@@ -109,20 +110,20 @@
 		engine = 1;
 		wanted = targets_made;
 		looked = true }
-	/* Between the two it may have been paused for as long as it likes. */
+	/* The pause between check and send has no upper bound. */
 	:: atomic { looked && nfull(orders) ->
 		orders ! engine, my_fence, wanted, my_hold;
 		engine = 0;
 		wanted = 0;
 		looked = false }
-	/* It notices that the lease is gone, and may try for the key again. */
+	/* It detects that the lease expired, and may acquire the key again. */
 	:: atomic { my_fence != 0 && !HOLDS_KEY && !looked ->
 		my_fence = 0;
 		my_hold = 0 }
 	od
 }
 
-/* Nothing can move: no order is on its way, the last holder is content. */
+/* No order is in transit, and the last holder has no order to send. */
 active proctype end_state()
 {
 	timeout ->
--- a/spec/plans.pml
+++ b/spec/plans.pml
@@ -1,18 +1,18 @@
 /*
- * How a plan is confirmed (core/plan/plan_entry.c) and a configuration taken over
- * (core/node/node_config.c).
+ * Model of how a plan is confirmed (core/plan/plan_entry.c) and a configuration
+ * is applied (core/node/node_config.c).
  *
- * PLANS operators plan on whatever revision they see and confirm; each
- * confirmation is one compare-and-swap at the plan's base, written again with
- * the same base when the answer is lost. A write given up may be applied much
- * later. The document remembers its last HISTORY confirmations. A node hears
- * of documents late, out of order and more than once.
+ * PLANS operators plan on whichever revision they see, and confirm; each
+ * confirmation is one compare-and-swap at the plan's base, retried with the
+ * same base when the answer is lost. An abandoned write may be applied much
+ * later. The document records its last HISTORY confirmations. A node receives
+ * documents late, out of order and more than once.
  *
  * Checked: of the plans on one base at most one takes effect, and none twice;
- * who is told "yes" or "no" is told the truth, for ever; a node never goes
- * back to an older configuration.
+ * an answer "yes" or "no" is true and stays true; a node never reverts to an
+ * older configuration.
  *
- * Each MUTANT_n leaves one safeguard out; see spec/run.sh.
+ * Each MUTANT_n removes one safeguard; see spec/run.sh.
  */
 
 #define PLANS 3
@@ -29,13 +29,13 @@
 byte applied[PLANS] = 0;
 bool told_no[PLANS];
 byte losses = 0;
-byte late[PLANS] = 0; /* writes on their way although given up */
+byte late[PLANS] = 0; /* abandoned writes that may still be applied */
 byte base_of[PLANS];
 
 chan writes = [PLANS] of { byte };
 chan answers[PLANS] = [1] of { mtype };
 
-/* The compare and the swap. */
+/* Compares the revision with the plan's base and writes if they are equal. */
 inline apply(plan, done)
 {
 	done = false;
@@ -101,9 +101,9 @@
 }
 
 /*
- * The key is no longer at the base. Without a lost answer this write was
- * certainly not applied, nor an earlier one; else the document tells, as far
- * back as it remembers.
+ * The key is no longer at the base. If no answer was lost, neither this write
+ * nor an earlier one was applied; otherwise the history in the document decides
+ * if it reaches back far enough.
  */
 inline settle_conflict()
 {
@@ -119,10 +119,10 @@
 		:: else -> tell_no()
 		fi
 	:: doubt && revision > base + HISTORY ->
-#ifdef MUTANT_3 /* what the document does not remember was not */
+#ifdef MUTANT_3 /* a plan older than the history counts as not applied */
 		tell_no()
 #else
-		break /* told "in doubt" */
+		break /* answered "in doubt" */
 #endif
 #endif
 	fi
@@ -149,7 +149,7 @@
 #else
 				doubt = true
 #endif
-#ifdef MUTANT_5 /* a new write takes the newest base */
+#ifdef MUTANT_5 /* a retry uses the newest base */
 				;
 				base = revision;
 				base_of[plan] = base
@@ -161,7 +161,7 @@
 	od
 }
 
-/* Any document that ever was may arrive, from the watch or from a peer. */
+/* Any document up to the newest may arrive, from the watch or from a peer. */
 active proctype node()
 {
 	byte got = 0, in_force = 0;
@@ -174,7 +174,7 @@
 		:: revision > 2 -> got = 3
 		fi;
 		if
-#ifndef MUTANT_6 /* whatever arrives is taken */
+#ifndef MUTANT_6 /* every document that arrives is applied */
 		:: got <= in_force -> skip
 #endif
 		:: else ->
--- a/spec/run.sh
+++ b/spec/run.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Checks the models in spec/ with spin: each holds, and each of its mutants,
-# which leave one safeguard out, is shown to break a property.
+# Checks the models in spec/ with spin: each model holds, and each of its
+# mutants, which remove one safeguard, violates a property.
 #
 #     spec/run.sh BUILD_FOLDER
 set -eu
--- a/tests/api.sh
+++ b/tests/api.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs every curl line of docs/API.md against three nodes on fakes and checks
-# the status that stands behind it. api.sh BIN
+# the status noted after each. api.sh BIN
 set -euo pipefail
 
 bin=$1
@@ -12,7 +12,7 @@
 start_nodes
 configure
 
-# Read by the lines of the page.
+# Used by the curl lines of docs/API.md.
 export NODE="http://${https[0]}" KEY=$organisation_key
 export OPERATOR_KEY=$operator_key
 passed=0
--- a/tests/faults.sh
+++ b/tests/faults.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Faults of whole processes, judged by what callers received and by what the
-# endpoints ran. Waits are bounded polls; no verdict hangs on how fast they
-# are. faults.sh BIN [CASE]
+# Tests of process faults, checked by what callers received and by what the
+# endpoints ran. Waits are bounded polls; no result depends on their speed.
+# faults.sh BIN [CASE]
 set -euo pipefail
 
 bin=$1
@@ -13,8 +13,8 @@
 passed=0
 failed=0
 
-# Notes a failure of the running case and goes on, so that the case still
-# puts back what it changed.
+# Records a failure of the running case and continues, so that the case still
+# restores what it changed.
 fail() {
 	echo "  $*"
 	case_failed=1
@@ -99,8 +99,8 @@
 		jq '.nodes | length')" = 3 ]
 }
 
-# The caller's node is killed in the middle of a report. The caller goes on at
-# another node with the id of its last event, and gets the rest of the same
+# The caller's node is killed during a report. The caller resumes at another
+# node with the id of its last event, and gets the remaining tokens of the same
 # generation: each token once.
 case_node_killed_mid_stream() {
 	stream "${https[2]}" 400 "$work/first" &
@@ -116,7 +116,7 @@
 	until_true knows_all 0 || fail "the nodes do not find each other"
 }
 
-# Drops the last event if it was cut in two.
+# Drops the last event if it is incomplete.
 keep_complete_events() {
 	awk '/^id: / { id = $0; data = "" } /^data: / { data = $0 }
 		/^$/ && data { print id; print data; print ""; data = "" }' \
@@ -124,9 +124,9 @@
 	mv "$1.whole" "$1"
 }
 
-# The node that issued an order's id stands still. The order, sent to it and
+# The node that issued an order's id is paused. The order, sent to it and
 # then to another node, gets "unknown" there, and runs at most once, also when
-# the first node goes on and finds the order in its socket.
+# the first node resumes and finds the order in its socket.
 case_issuer_paused() {
 	local id
 
@@ -143,7 +143,7 @@
 }
 
 # The issuer is killed with the order in flight and replaced under its name
-# and address. Nobody may run the order again, since it may have run.
+# and address. No node may run the order again, since it may have run.
 case_issuer_replaced() {
 	local id
 
@@ -164,7 +164,7 @@
 }
 
 # The plain service runs the order and closes without an answer. The caller
-# learns that it may have run, and the same id never runs again.
+# learns that it may have run, and the same id does not run again.
 case_answer_lost_at_endpoint() {
 	local id
 
@@ -180,7 +180,7 @@
 }
 
 # The key-value service applies the claim of an order and loses the answer.
-# The order still runs exactly once, also when it is sent again elsewhere.
+# The order still runs exactly once, also when it is sent again to another node.
 case_claim_answer_lost() {
 	mode "$kv" '{"lose_answers":1}'
 	order "${https[0]}" claim-lost >"$work/answer"
@@ -192,10 +192,10 @@
 	[ "$(runs_of claim-lost)" = 1 ] || fail "ran $(runs_of claim-lost) times"
 }
 
-# The key-value service is down. An order with a key of its own is not run, and
-# not called "not run" either, since no node can tell for the others; one with
-# an issued id runs; reports go on; a node that starts in the outage gets its
-# configuration from the others.
+# The key-value service is down. An order with a key of the caller's own is
+# not run, and not answered "not run" either, since a node cannot know whether
+# another one ran it; one with an issued id runs; reports continue; a node that
+# starts during the outage gets its configuration from the others.
 case_kv_down() {
 	local id
 
@@ -216,8 +216,8 @@
 	until_true knows_all 0 || fail "the nodes do not find each other"
 }
 
-# An engine dies in the middle of a report. The caller gets a typed end and no
-# token of another generation; the same report sent again comes whole.
+# An engine crashes during a report. The caller gets a typed end and no token of
+# another generation; the same report sent again is answered completely.
 case_engine_crash_mid_stream() {
 	stream "${https[0]}" 2000 "$work/first" &
 	reader=$!
@@ -239,8 +239,8 @@
 	is_whole 30 "$work/second"
 }
 
-# The link to the engine stalls without closing. The node attaches to the same
-# generation again and the caller gets each token once.
+# The link to the engine stalls without closing. The node reattaches to the
+# same generation and the caller gets each token once.
 case_engine_link_stalls() {
 	stream "${https[0]}" 300 "$work/first" &
 	reader=$!
@@ -252,9 +252,9 @@
 	whole_once 300 "$work/first"
 }
 
-# A node is told to stop in the middle of a report. The report comes whole, a
-# caller that still holds the old address is served, and the node ends by
-# itself with status 0.
+# A node gets the signal to stop during a report. The report completes, a caller
+# that still uses the old address is served, and the node exits by itself with
+# status 0.
 case_drain() {
 	local status=0
 
@@ -272,8 +272,8 @@
 	until_true knows_all 0 || fail "the nodes do not find each other"
 }
 
-# An engine says in its load report that it leaves. After a few seconds no new
-# report goes there, by any node.
+# An engine announces in its load report that it leaves. After a few seconds no
+# node sends a new report to it.
 case_engine_leaves() {
 	mode "${engines[0]}" '{"leaving":true}'
 	until_true all_know_leaving || fail "not all nodes know that it leaves"
@@ -296,7 +296,7 @@
 }
 
 # The answer to a confirmation is lost after it took effect. Confirming again
-# says that it did; the revision is in force at all nodes, and never reverts.
+# returns that it did; the revision is in force at all nodes, and never reverts.
 case_confirm_answer_lost() {
 	local plan status=0
 
@@ -324,8 +324,8 @@
 	done
 }
 
-# Two operators plan on the same revision. One confirms; the other is told that
-# somebody was first, and nothing of its plan is in force.
+# Two operators plan on the same revision. One confirms; the other gets the
+# answer that another plan was first, and nothing of its own plan is in force.
 case_operators_race() {
 	local first second status=0
 
--- a/tests/mutants.sh
+++ b/tests/mutants.sh
@@ -1,12 +1,13 @@
 #!/bin/sh
-# Leaves out one safeguard at a time and requires that the tests named for it
-# fail without it. They must pass with it, which is checked first.
+# Removes one safeguard at a time and requires that the tests named for it fail
+# without it. They must pass with it, which is checked first.
 #
 #     tests/mutants.sh BUILD_FOLDER [MUTANT...]
 #
-# A file of tests/mutants names the safeguard, its file and the tests, then
-# gives texts "--- with" the safeguard, each there exactly once, and what
-# stands there "--- without" it. Copies are made and built in BUILD_FOLDER.
+# A file of tests/mutants names the safeguard, its source file and the tests,
+# then gives text sections: "--- with" quotes source text that occurs exactly
+# once, and "--- without" its replacement. Copies are made and built in
+# BUILD_FOLDER.
 set -eu
 cd "$(dirname "$0")/.."
 build=$(cd "$1" && pwd)
@@ -22,7 +23,7 @@
 	echo "mutants: $(basename "$1" .mutant): $2"
 }
 
-# 0: found out. The source and its object are put back as they were.
+# Returns 0 if the tests detect the mutant. Restores the source and its object.
 run_mutant() { # MUTANT
 	file=$(field "$1" file)
 	filter=$(field "$1" fails)
--- a/tests/mutate.sh
+++ b/tests/mutate.sh
@@ -1,11 +1,13 @@
-# For sh: files that say how a source reads with and without something.
+# Sourced by sh scripts: reads files that give a source text with and without
+# a safeguard or mechanism.
 
-# What the file's head says of that name.
+# Prints the value of a header field of the file.
 field() { # FILE NAME
 	sed -n "s/^$2: //p;/^---/q" "$1"
 }
 
-# Writes the source without it; fails if a text is not there exactly once.
+# Writes SOURCE with the replacements of MUTANT to TARGET; fails if a quoted
+# text does not occur exactly once.
 mutate() { # MUTANT SOURCE TARGET
 	perl -e '
 		use strict;
--- a/tests/processes.sh
+++ b/tests/processes.sh
@@ -1,5 +1,5 @@
-# Sourced by the demo and by tests that need whole processes: starts programs
-# on loopback, waits for their address, and ends them by pid.
+# Sourced by the demo and by tests that run the programs: starts processes on
+# loopback, waits for their address, and ends them by pid.
 # The sourcing script sets `bin` first.
 
 work=$(mktemp -d -t siskinlink.XXXXXX)
@@ -14,7 +14,8 @@
 domains=(a b c)
 extra_times=
 
-# Whether KNOWN-RED.txt lists CASE of SCRIPT; it runs, and decides nothing.
+# Whether KNOWN-RED.txt lists CASE of SCRIPT; such a case runs, but its result
+# is ignored.
 is_known_red() { # SCRIPT CASE
 	grep -q "^$1 $2 " KNOWN-RED.txt 2>/dev/null
 }
@@ -55,8 +56,8 @@
 	return 1
 }
 
-# A port nobody listens on now, each time another one; the node that takes it
-# says so if it is lost.
+# Prints a port that is free at present, a new one on each call; a node reports
+# an error if the port is no longer free when it binds.
 free_port() {
 	local port
 
@@ -71,14 +72,14 @@
 	return 1
 }
 
-# start_engine I: starts engine I, or starts it again at its address.
+# start_engine I: starts engine I, or restarts it at its address.
 start_engine() {
 	start "engine$1" "$bin/fake_engine" --address "${engines[$1]}"
 	engines[$1]=$address
 	engine_pids[$1]=$started
 }
 
-# The platform, three engines and a plain service.
+# Starts the platform, three engines and a plain service.
 start_fakes() {
 	start kv "$bin/fake_kv" --address 127.0.0.1:0
 	kv=$address
@@ -92,7 +93,7 @@
 	service=$address
 }
 
-# write_settings I: the settings file of node I.
+# write_settings I: writes the settings file of node I.
 write_settings() {
 	cat >"$work/n$1.toml" <<-TOML
 		[node]
@@ -114,13 +115,13 @@
 	TOML
 }
 
-# start_node I: starts node I, or starts it again.
+# start_node I: starts or restarts node I.
 start_node() {
 	start "n$1" "$bin/siskinlinkd" --config "$work/n$1.toml"
 	node_pids[$1]=$started
 }
 
-# Three nodes, each in a failure domain of its own.
+# Starts three nodes, each in its own failure domain.
 start_nodes() {
 	for _ in 0 1 2; do
 		peers+=("127.0.0.1:$(free_port)")
@@ -133,7 +134,7 @@
 	done
 }
 
-# An intent with all the fakes, as an operator would write it.
+# Prints an intent with all the fakes, as an operator would write it.
 write_intent() {
 	cat <<-TOML
 		[[organisations]]
@@ -165,7 +166,7 @@
 	TOML
 }
 
-# until_true COMMAND...: polls, half a minute at most.
+# until_true COMMAND...: polls for at most half a minute.
 until_true() {
 	for _ in $(seq 300); do
 		! "$@" 2>/dev/null || return 0
--- a/tests/pure.sh
+++ b/tests/pure.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # Checks that the pure objects call no clock, socket, thread, file or source
-# of randomness: these would make a run depend on more than its events.
+# of randomness: with them a run would depend on more than its events.
 forbidden='socket|connect|bind|listen|accept|send|recv|poll|select|epoll_wait'
 forbidden="$forbidden|clock_gettime|gettimeofday|time|nanosleep|usleep"
 forbidden="$forbidden|pthread_create|g_thread_new|g_main_loop_run|g_timeout_add"
