--- a/fuzz/config_json_fuzz.c
+++ b/fuzz/config_json_fuzz.c
@@ -3,7 +3,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* A document that is taken must come back from its own text as the same. */
+/* An accepted document must survive formatting and parsing unchanged. */
 static void check_round_trip(const struct config *config)
 {
 	GBytes *once = config_json_format(config);
@@ -11,13 +11,13 @@
 	GBytes *twice = again ? config_json_format(again) : NULL;
 
 	if (!twice || !g_bytes_equal(once, twice))
-		g_error("a document that was taken is not taken again");
+		g_error("an accepted document does not round-trip");
 	g_bytes_unref(once);
 	g_bytes_unref(twice);
 	config_unref(again);
 }
 
-/* The same input as a stored document and as an intent on it. */
+/* Parses the input as a stored document and as an intent against it. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	GBytes *text = g_bytes_new(data, size);
--- a/fuzz/etcd_json_fuzz.c
+++ b/fuzz/etcd_json_fuzz.c
@@ -6,7 +6,10 @@
 
 enum { MAX_BYTES = 64 * 1024 };
 
-/* An answer to each kind of request, a line of a watch, and a VM list. */
+/*
+ * Parses the input as the answer to each kind of request, as a watch message
+ * and as a VM list.
+ */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	GBytes *body = g_bytes_new(data, size);
--- a/fuzz/gateway_fuzz.c
+++ b/fuzz/gateway_fuzz.c
@@ -6,7 +6,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static bool take_head(void *data, const struct http_head *head)
+static bool append_head(void *data, const struct http_head *head)
 {
 	g_string_append_printf(data, "head %d %s %u;", head->status,
 			       head->target ? head->target : "",
@@ -14,12 +14,12 @@
 	return true;
 }
 
-static void take_body(void *data, const char *bytes, size_t size)
+static void append_body(void *data, const char *bytes, size_t size)
 {
 	g_string_append_len(data, bytes, (gssize)size);
 }
 
-static const struct http_reader_events events = {take_head, take_body};
+static const struct http_reader_events events = {append_head, append_body};
 
 static GString *read_in_pieces(enum http_reader_kind kind, const uint8_t *data,
 			       size_t size, size_t piece)
@@ -45,7 +45,7 @@
 	return found;
 }
 
-static bool take_event(void *data, const char *bytes, size_t size, int64_t id)
+static bool check_event(void *data, const char *bytes, size_t size, int64_t id)
 {
 	if (size < 2 || bytes[size - 1] != '\n' || id < -1)
 		abort();
@@ -57,7 +57,7 @@
 {
 	size_t found = 0;
 	struct event_scanner *scanner =
-		event_scanner_create(take_event, &found);
+		event_scanner_create(check_event, &found);
 
 	for (size_t at = 0; at < size; at += piece)
 		event_scanner_feed(scanner, (const char *)data + at,
@@ -67,23 +67,26 @@
 	event_scanner_destroy(scanner);
 }
 
-/* However the bytes are cut, the same messages come out of them. */
+/*
+ * Any division of the input into pieces must yield the same messages, or a
+ * prefix of them if the input is rejected.
+ */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	size_t piece = size ? data[0] % 16 + 1 : 1;
 
 	for (int kind = HTTP_READER_REQUESTS; kind <= HTTP_READER_ANSWERS;
 	     kind++) {
-		GString *whole = read_in_pieces((enum http_reader_kind)kind,
-						data, size, size ? size : 1);
-		GString *cut = read_in_pieces((enum http_reader_kind)kind, data,
-					      size, piece);
+		GString *unsplit = read_in_pieces((enum http_reader_kind)kind,
+						  data, size, size ? size : 1);
+		GString *split = read_in_pieces((enum http_reader_kind)kind,
+						data, size, piece);
 
-		if (!g_str_has_prefix(whole->str, cut->str) &&
-		    !g_str_has_prefix(cut->str, whole->str))
+		if (!g_str_has_prefix(unsplit->str, split->str) &&
+		    !g_str_has_prefix(split->str, unsplit->str))
 			abort();
-		g_string_free(whole, TRUE);
-		g_string_free(cut, TRUE);
+		g_string_free(unsplit, TRUE);
+		g_string_free(split, TRUE);
 	}
 	scan(data, size, piece);
 	return 0;
--- a/fuzz/http_body_fuzz.c
+++ b/fuzz/http_body_fuzz.c
@@ -9,14 +9,14 @@
 
 enum { COLLECT_BYTES_MAX = 256 };
 
-/* The same input as a caller's body and as a chunk to be collected. */
+/* Reads the input as a request body and collects it as an answer chunk. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct request *request = request_create(REQUEST_GENERATION);
 	struct http_collect *collect =
 		http_collect_create(false, COLLECT_BYTES_MAX);
 	struct error error;
-	GBytes *whole;
+	GBytes *answer;
 
 	g_bytes_unref(request->body);
 	request->body = g_bytes_new(data, size);
@@ -26,8 +26,8 @@
 		abort();
 	http_collect_add(collect, request->body);
 	http_collect_add(collect, request->body);
-	whole = http_collect_finish(collect, 1, 2, "stop");
-	g_bytes_unref(whole);
+	answer = http_collect_finish(collect, 1, 2, "stop");
+	g_bytes_unref(answer);
 	http_collect_destroy(collect);
 	request_unref(request);
 	return 0;
--- a/fuzz/load_text_fuzz.c
+++ b/fuzz/load_text_fuzz.c
@@ -6,7 +6,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* What is taken is in range; -1 stands for a field that is missing. */
+/* Every field of an accepted report is in range; -1 means it is missing. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct load_report report;
--- a/fuzz/peer_codec_fuzz.c
+++ b/fuzz/peer_codec_fuzz.c
@@ -6,7 +6,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* What decodes must encode, and decode again to the same. */
+/* A decoded message must encode, and decode again to the same type. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	GBytes *record = g_bytes_new(data, size);
--- a/fuzz/platform_fuzz.c
+++ b/fuzz/platform_fuzz.c
@@ -20,12 +20,13 @@
 {
 	char key[] = "servers/i-1";
 	struct store_item item = {.key = key, .value = bytes, .revision = 1};
-	struct registration *said = platform_read_entry(&item);
+	struct registration *entry = platform_read_entry(&item);
 
-	if (!said || (!said->is_removed &&
-		      (!said->service || !said->address || said->slots < 1)))
+	if (!entry ||
+	    (!entry->is_removed &&
+	     (!entry->service || !entry->address || entry->slots < 1)))
 		abort();
-	registration_destroy(said);
+	registration_destroy(entry);
 }
 
 static void read_answers(GBytes *bytes)
@@ -38,7 +39,7 @@
 	platform_dialect.read_report_leaves(bytes);
 }
 
-/* Each operation's answer, by each status that means something. */
+/* Parses the answer of each operation with each status that has a meaning. */
 static void read_calls(GBytes *bytes)
 {
 	static const int32_t statuses[] = {200, 404, 412, 429, 500};
@@ -59,7 +60,7 @@
 		}
 }
 
-/* All that the store, its writers and the engines may send. */
+/* Parses the input as each message of the store, its writers and engines. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	GBytes *bytes = g_bytes_new(data, size);
--- a/fuzz/sse_reader_fuzz.c
+++ b/fuzz/sse_reader_fuzz.c
@@ -9,7 +9,7 @@
 
 enum { EVENT_BYTES_MAX = 1024, NEXT_TOKEN = 100 };
 
-static bool take_event(void *data, const struct sse_event *sse)
+static bool append_event(void *data, const struct sse_event *sse)
 {
 	GString *events = data;
 	struct engine_event event;
@@ -30,7 +30,7 @@
 {
 	GString *events = g_string_new(NULL);
 	struct sse_reader *reader =
-		sse_reader_create(EVENT_BYTES_MAX, take_event, events);
+		sse_reader_create(EVENT_BYTES_MAX, append_event, events);
 	struct error error;
 
 	for (size_t at = 0; at < size; at += piece) {
@@ -43,20 +43,20 @@
 }
 
 /*
- * However the network cuts the stream, the same events come out of it. A
- * stream that is refused is cut at a place that depends on the pieces, so that
- * one result is then the start of the other.
+ * Any division of the stream into pieces must yield the same events. When a
+ * stream is rejected, the number of events before the error depends on the
+ * pieces, so one result may be a prefix of the other.
  */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	size_t piece = size ? data[0] % 16 + 1 : 1;
-	GString *whole = read_in_pieces(data, size, size ? size : 1);
-	GString *cut = read_in_pieces(data, size, piece);
+	GString *unsplit = read_in_pieces(data, size, size ? size : 1);
+	GString *split = read_in_pieces(data, size, piece);
 
-	if (!g_str_has_prefix(whole->str, cut->str) &&
-	    !g_str_has_prefix(cut->str, whole->str))
+	if (!g_str_has_prefix(unsplit->str, split->str) &&
+	    !g_str_has_prefix(split->str, unsplit->str))
 		abort();
-	g_string_free(whole, TRUE);
-	g_string_free(cut, TRUE);
+	g_string_free(unsplit, TRUE);
+	g_string_free(split, TRUE);
 	return 0;
 }
--- a/fuzz/toml_fuzz.c
+++ b/fuzz/toml_fuzz.c
@@ -7,7 +7,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-/* Any text gives an error or JSON that parses. */
+/* Converts any text to JSON or to an error, and parses the JSON. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	char *text = g_strndup((const char *)data, size);
