--- a/tests/differential_oracle.cc
+++ b/tests/differential_oracle.cc
@@ -16,7 +16,7 @@
 			gsize size;
 			auto *data = static_cast<const char *>(
 				g_bytes_get_data(action->answer.body, &size));
-			ReadNodes(std::string(data, size));
+			ParseIdPrefixes(std::string(data, size));
 		}
 		return;
 	}
@@ -43,19 +43,21 @@
 			Say("close " + std::to_string(id));
 			call.ended = true;
 			world_close_call(world_, id);
-			Failed(call);
+			RetryOrGiveUp(call);
 		}
 		break;
 	}
 	case ACTION_CALL_END:
 		if (action->end.refusal == REFUSAL_NONE) {
 			if (action->end.token_count != call.next_token)
-				Violation(id, "the end counts other tokens");
+				Violation(id, "the end event has a different "
+					      "token count");
 			Ended(id, call, true);
 			break;
 		}
 		if (call.next_token > 0 && action->end.run != RUN_YES)
-			Violation(id, "tokens came, and run is not yes");
+			Violation(id,
+				  "tokens were received, but run is not yes");
 		Refused(id, call, refusal_code(action->end.refusal),
 			run_name(action->end.run));
 		break;
@@ -93,11 +95,11 @@
 		return;
 	}
 	if (body != call.intent->body)
-		Violation(id, "another request's answer: " + body);
+		Violation(id, "answer of another request: " + body);
 	Ended(id, call, true);
 }
 
-/* A stream that another node made, as one body. */
+/* A stream that another node answered, received as one body. */
 void Script::ForwardedStream(uint64_t id, Call &call, const std::string &body)
 {
 	std::istringstream words(body);
@@ -118,7 +120,7 @@
 	Violation(id, "a forwarded stream without an end");
 }
 
-/* Each token once, in order and of one generation, which is this request's. */
+/* Checks that each token comes once, in order and from one generation. */
 void Script::Chunk(uint64_t id, Call &call, const std::string &data)
 {
 	char generation[32];
@@ -132,7 +134,8 @@
 	if (call.generation.empty())
 		call.generation = generation;
 	if (call.generation != generation)
-		Violation(id, "stitched: " + call.generation + " and " + data);
+		Violation(id, "tokens of two generations: " + call.generation +
+				      " and " + data);
 	if (first != call.next_token)
 		Violation(id, "expected token " +
 				      std::to_string(call.next_token) +
@@ -140,13 +143,14 @@
 	call.next_token = first + count;
 }
 
-void Script::CheckWhole(uint64_t id, const Call &call)
+/* Checks that all tokens came and that the generation ran this request. */
+void Script::CheckComplete(uint64_t id, const Call &call)
 {
 	const GPtrArray *runs = world_runs(world_);
 	size_t number;
 
 	if (call.next_token != call.intent->tokens)
-		Violation(id, "ended whole after " +
+		Violation(id, "completed after " +
 				      std::to_string(call.next_token) + " of " +
 				      std::to_string(call.intent->tokens));
 	if (call.generation.empty())
@@ -161,7 +165,7 @@
 	auto *body = static_cast<const char *>(
 		g_bytes_get_data(run->request->body, &size));
 	if (std::string(body, size) != call.intent->body)
-		Violation(id, "another request's generation");
+		Violation(id, "generation of another request");
 }
 
 void Script::Ended(uint64_t id, Call &call, bool whole)
@@ -170,7 +174,7 @@
 	result_.whole += whole;
 	Say("whole " + std::to_string(id));
 	if (call.intent->kind == REQUEST_GENERATION)
-		CheckWhole(id, call);
+		CheckComplete(id, call);
 	if (call.intent->expected.key_reused && !faults_)
 		Violation(id, "an id used with another body was answered");
 }
@@ -189,13 +193,13 @@
 	if (run == "no") {
 		not_run_[id] = code;
 		if (!call.resume && call.next_token > 0)
-			Violation(id, "tokens came, and run is no");
-		/* What another call of this id did meanwhile is not told. */
+			Violation(id, "tokens were received, but run is no");
+		/* Runs by other calls of this id after sent_us do not count. */
 		if (call.intent->non_idempotent &&
 		    HasRunBefore(*call.intent, call.sent_us)) {
 			result_.repeats_called_not_run++;
 			Violation(id,
-				  "ran before, and is refused as not run: " +
+				  "ran before, but is refused as not run: " +
 					  code);
 		}
 	}
@@ -204,7 +208,7 @@
 	if (run != "no" && run != "yes" && run != "unknown")
 		Violation(id, "run is '" + run + "'");
 	if (!expected)
-		Failed(call);
+		RetryOrGiveUp(call);
 }
 
 void Script::Broken(uint64_t id, bool connected)
@@ -221,14 +225,14 @@
 					: "no connection without a fault");
 	if (connected && !killed_.count(found->second.incarnation) &&
 	    world_now_us(world_) - found->second.sent_us > kConnectUs)
-		Violation(id, "cut by a node that drained");
-	Failed(found->second);
+		Violation(id, "connection broken by a draining node");
+	RetryOrGiveUp(found->second);
 }
 
-/* A caller that got no whole answer comes back, or does not. */
-void Script::Failed(const Call &call)
+/* A caller without a complete answer resumes, sends again or gives up. */
+void Script::RetryOrGiveUp(const Call &call)
 {
-	if (Chance(20) || call.intent->sends >= kMostSends)
+	if (Chance(20) || call.intent->sends >= kMaxSends)
 		return;
 	if (!call.last_event_id.empty() && !call.intent->non_idempotent &&
 	    Chance(80)) {
@@ -238,7 +242,7 @@
 		   [this, broken] { Resume(broken); });
 		return;
 	}
-	/* Without an id a caller must not repeat what may run but once. */
+	/* A non-idempotent request without an id must not be sent again. */
 	if (!call.intent->non_idempotent || !call.intent->key.empty())
 		SendAgain(call.intent, call.node);
 }
@@ -277,11 +281,11 @@
 		if (refused != not_run_.end())
 			Violation(run->call, "refused as not run (" +
 						     refused->second +
-						     "), and it ran");
+						     "), but it ran");
 		if (++count[body] > 1 && intents_[body]->non_idempotent)
 			Violation(run->call, "ran twice: " + body);
 		if (leaving != leaving_since_.end() &&
-		    run->at_us > leaving->second + kLeavingPatienceUs)
+		    run->at_us > leaving->second + kLeavingTimeoutUs)
 			Violation(run->call,
 				  "ran at an endpoint that left long before");
 	}
--- a/tests/differential_script.cc
+++ b/tests/differential_script.cc
@@ -83,14 +83,15 @@
 	return revision;
 }
 
-/* Well after the faults every node has the newest configuration. */
+/* Checks that every node that runs has the newest configuration. */
 void Script::CheckConfigs()
 {
 	for (int i = 0; i < options_.node_count; i++) {
 		if (world_node_alive(world_, i) &&
 		    ConfigRevision(i) != newest_revision_)
-			Violation(0, "n" + std::to_string(i) +
-					     " has not the newest revision");
+			Violation(0,
+				  "n" + std::to_string(i) +
+					  " does not have the newest revision");
 	}
 }
 
@@ -120,7 +121,7 @@
 		printf("%12.6f %s\n", world_now_us(world_) / 1e6, text.c_str());
 }
 
-/* No process ever takes an older configuration than it has. */
+/* Checks that no process applies an older configuration than it has. */
 void Script::Logged(int node, const struct action_log &log)
 {
 	std::string line = "n" + std::to_string(node) + " " + log.event;
@@ -133,7 +134,7 @@
 
 		if (revision <= last)
 			Violation(0, "n" + std::to_string(node) +
-					     " went back from revision " +
+					     " reverted from revision " +
 					     std::to_string(last));
 		last = revision;
 	}
@@ -143,7 +144,7 @@
 	Say(line);
 }
 
-void Script::SayDump(int node)
+void Script::PrintDump(int node)
 {
 	GVariant *dump;
 	char *text;
@@ -158,18 +159,18 @@
 	g_variant_unref(dump);
 }
 
-void Script::AskNodes()
+void Script::QueryNodes()
 {
 	nodes_query_ = world_query(world_, AnyNode(), QUERY_NODES, nullptr,
 				   nullptr, nullptr);
 	At(world_now_us(world_) + Pick(200 * kMs, 2 * kSecond), [this] {
 		if (world_now_us(world_) < kLastCallUs)
-			AskNodes();
+			QueryNodes();
 	});
 }
 
-/* Keeps the prefix of each node's ids that the answer names. */
-void Script::ReadNodes(const std::string &text)
+/* Stores the id prefix of each node in the answer. */
+void Script::ParseIdPrefixes(const std::string &text)
 {
 	const std::string mark = "\"id_prefix\":\"";
 
@@ -184,7 +185,7 @@
 	}
 }
 
-/* Half the ids come from a prefix and then belong to the node it names. */
+/* Half of the ids have the prefix of a node, which is then their issuer. */
 std::string Script::MakeKey(int *node)
 {
 	std::string own = "k" + std::to_string(next_body_);
@@ -234,11 +235,11 @@
 		   [this, intent] { Send(intent, AnyNode()); });
 	if (!intent->key.empty() && Chance(10))
 		At(world_now_us(world_) + 8 * kSecond,
-		   [this, intent] { Misuse(intent); });
+		   [this, intent] { ReuseKey(intent); });
 }
 
-/* The same id with another body. */
-void Script::Misuse(const std::shared_ptr<Intent> &first)
+/* Sends the id again with another body. */
+void Script::ReuseKey(const std::shared_ptr<Intent> &first)
 {
 	auto intent = std::make_shared<Intent>(*first);
 
@@ -247,7 +248,7 @@
 		intent->body += " [[tokens=7]]";
 	intent->tokens = 7;
 	intent->reuses_key = true;
-	intent->sends = kMostSends - 1;
+	intent->sends = kMaxSends - 1;
 	intent->expected = naive_.Call(intent->organisation + "/" + intent->key,
 				       intent->body, intent->tokens);
 	intents_[intent->body] = intent;
@@ -277,7 +278,7 @@
 	return request;
 }
 
-void Script::SentTo(Call &call, int node)
+void Script::RecordSend(Call &call, int node)
 {
 	call.node = node;
 	call.incarnation = world_node_incarnation(world_, node);
@@ -290,14 +291,14 @@
 	Call call;
 	uint64_t id;
 
-	if (intent->sends >= kMostSends)
+	if (intent->sends >= kMaxSends)
 		return;
 	intent->sends++;
 	request = make_request(*intent);
 	id = world_call(world_, node, request);
 	request_unref(request);
 	call.intent = intent;
-	SentTo(call, node);
+	RecordSend(call, node);
 	if (faults_ && intent->kind == REQUEST_GENERATION && Chance(15))
 		call.close_after = static_cast<int>(Pick(1, 40));
 	calls_[id] = call;
@@ -312,7 +313,7 @@
 			Say("close " + std::to_string(id));
 			calls_[id].ended = true;
 			world_close_call(world_, id);
-			Failed(calls_[id]);
+			RetryOrGiveUp(calls_[id]);
 		});
 }
 
@@ -327,7 +328,7 @@
 	   [this, intent, node] { Send(intent, node); });
 }
 
-/* Asks any node for the rest of a stream. */
+/* Requests the rest of a stream from any node. */
 void Script::Resume(const Call &broken)
 {
 	struct request *request = make_request(*broken.intent);
@@ -341,7 +342,7 @@
 	request->last_event_id = g_strdup(broken.last_event_id.c_str());
 	id = world_call(world_, node, request);
 	request_unref(request);
-	SentTo(call, node);
+	RecordSend(call, node);
 	call.resume = true;
 	call.ended = false;
 	call.close_after = -1;
@@ -355,7 +356,7 @@
 {
 	int64_t count = Pick(20, 80);
 
-	At(kFirstCallUs / 2, [this] { AskNodes(); });
+	At(kFirstCallUs / 2, [this] { QueryNodes(); });
 	for (int64_t i = Pick(0, 6); i > 0; i--)
 		At(Pick(kFirstCallUs, kLastCallUs), [this] { Configure(); });
 	for (int64_t i = 0; i < count; i++)
@@ -365,7 +366,7 @@
 DifferentialResult Script::Run()
 {
 	PlanCalls();
-	At(kHealedUs + kConfigPatienceUs, [this] { CheckConfigs(); });
+	At(kHealedUs + kConfigTimeoutUs, [this] { CheckConfigs(); });
 	if (faults_)
 		PlanFaults();
 	world_run_until(world_, kEndUs);
@@ -374,7 +375,7 @@
 			Violation(id, "never ended");
 	}
 	for (int i = 0; verbose_ && i < options_.node_count; i++)
-		SayDump(i);
+		PrintDump(i);
 	CheckRuns();
 	return result_;
 }
--- a/tests/differential_state.h
+++ b/tests/differential_state.h
@@ -14,11 +14,11 @@
 #include <vector>
 
 /*
- * A random script under way. Private to tests/differential_*.cc:
+ * State of a running random script. Private to tests/differential_*.cc:
  *
- *   differential_script.cc  the script's life; what callers do
- *   differential_faults.cc  what fails
- *   differential_oracle.cc  what callers get, checked against what ran
+ *   differential_script.cc  set-up and run of a script; the callers' actions
+ *   differential_faults.cc  injected faults
+ *   differential_oracle.cc  checks what callers receive against what ran
  */
 namespace differential
 {
@@ -29,14 +29,16 @@
 constexpr int64_t kLastCallUs = 40 * kSecond;
 constexpr int64_t kHealedUs = 45 * kSecond;
 constexpr int64_t kEndUs = 160 * kSecond;
-constexpr int64_t kLeavingPatienceUs = 6 * kSecond;
-/* A request that comes in the moment before a node stops is not in progress. */
+/* A leaving endpoint gets no new run after this time. */
+constexpr int64_t kLeavingTimeoutUs = 6 * kSecond;
+/* A request sent less than this before its node stops may not have arrived. */
 constexpr int64_t kConnectUs = 350 * kMs;
-constexpr int64_t kConfigPatienceUs = 10 * kSecond;
-constexpr int kMostSends = 5;
+/* Every node has the newest configuration this long after the faults end. */
+constexpr int64_t kConfigTimeoutUs = 10 * kSecond;
+constexpr int kMaxSends = 5;
 constexpr const char *kOrganisations[] = {"atlas", "kgotso"};
 
-/* A request as its caller means it; sent once or more. */
+/* A request that its caller sends once or more often. */
 struct Intent {
 	request_kind kind = REQUEST_PLAIN;
 	bool non_idempotent = false;
@@ -46,11 +48,11 @@
 	int64_t tokens = 0;
 	int64_t deadline_us = 0;
 	int sends = 0;
-	bool reuses_key = false; /* of another body */
+	bool reuses_key = false; /* first used with another body */
 	NaiveService::Outcome expected;
 };
 
-/* One sending of it, and what came back. */
+/* One send of an intent, and the state of its answer. */
 struct Call {
 	std::shared_ptr<Intent> intent;
 	int node = 0;
@@ -94,7 +96,7 @@
 	void Violation(uint64_t call, const std::string &text);
 	void Say(const std::string &text);
 	void Logged(int node, const struct action_log &log);
-	void SayDump(int node);
+	void PrintDump(int node);
 
 	void Configure();
 	void CheckConfigs();
@@ -104,16 +106,16 @@
 	void PlanFault(int64_t at_us);
 	void PlanKill(int64_t at_us, int node, int64_t for_us);
 	void SlowCaller(int64_t for_us);
-	void AskNodes();
+	void QueryNodes();
 
 	std::shared_ptr<Intent> MakeIntent();
 	std::string MakeKey(int *node);
 	void Issue();
-	void SentTo(Call &call, int node);
+	void RecordSend(Call &call, int node);
 	void Send(const std::shared_ptr<Intent> &intent, int node);
 	void SendAgain(const std::shared_ptr<Intent> &intent, int node);
 	void Resume(const Call &broken);
-	void Misuse(const std::shared_ptr<Intent> &intent);
+	void ReuseKey(const std::shared_ptr<Intent> &intent);
 
 	void Answered(uint64_t id, const struct action *action);
 	void Answer(uint64_t id, Call &call,
@@ -124,10 +126,10 @@
 	void Refused(uint64_t id, Call &call, const std::string &code,
 		     const std::string &run);
 	void Broken(uint64_t id, bool connected);
-	void Failed(const Call &call);
-	void ReadNodes(const std::string &text);
+	void RetryOrGiveUp(const Call &call);
+	void ParseIdPrefixes(const std::string &text);
 
-	void CheckWhole(uint64_t id, const Call &call);
+	void CheckComplete(uint64_t id, const Call &call);
 	void CheckRuns();
 	bool HasRunBefore(const Intent &intent, int64_t time_us) const;
 
@@ -141,11 +143,11 @@
 	NaiveService naive_;
 	std::vector<std::unique_ptr<std::function<void()>>> actions_;
 	std::map<uint64_t, Call> calls_;
-	std::map<uint64_t, std::string> not_run_; /* call: refusal's code */
+	std::map<uint64_t, std::string> not_run_; /* call: refusal code */
 	std::map<std::string, std::shared_ptr<Intent>> intents_; /* by body */
 	std::map<int, int64_t> leaving_since_;			 /* endpoint */
 	std::set<uint64_t> killed_;		/* incarnations */
-	std::map<uint64_t, int64_t> revisions_; /* incarnation: last seen */
+	std::map<uint64_t, int64_t> revisions_; /* incarnation: last applied */
 	int64_t newest_revision_ = 0;
 	std::vector<std::string> prefixes_; /* by node */
 	uint64_t nodes_query_ = 0;
--- a/tests/loopback.cc
+++ b/tests/loopback.cc
@@ -4,19 +4,19 @@
 
 #include <algorithm>
 
-static const int TURNS_MAX = 20000;
+static const int MAX_ITERATIONS = 20000;
 
-static gboolean turn(gpointer)
+static gboolean keep_awake(gpointer)
 {
 	return G_SOURCE_CONTINUE;
 }
 
 bool run_until(const std::function<bool()> &done)
 {
-	guint source = g_timeout_add(1, turn, nullptr);
+	guint source = g_timeout_add(1, keep_awake, nullptr);
 	bool ok = done();
 
-	for (int i = 0; i < TURNS_MAX && !ok; i++) {
+	for (int i = 0; i < MAX_ITERATIONS && !ok; i++) {
 		g_main_context_iteration(nullptr, TRUE);
 		ok = done();
 	}
@@ -26,9 +26,9 @@
 
 void run_idle()
 {
-	int turns = 0;
+	int iterations = 0;
 
-	run_until([&] { return ++turns > 30; });
+	run_until([&] { return ++iterations > 30; });
 }
 
 void settle()
@@ -179,7 +179,7 @@
 		g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
 			     G_SOCKET_PROTOCOL_TCP, nullptr);
 
-	/* The backlog takes it: no turn of the loop is needed. */
+	/* The backlog accepts it without an iteration of the loop. */
 	EXPECT_TRUE(g_socket_connect(socket, to, nullptr, nullptr));
 	g_object_unref(to);
 	return new Connection(socket);
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -11,14 +11,19 @@
 #include <string>
 #include <vector>
 
-/* Runs the default main context until done, for a bounded number of turns. */
+/*
+ * Iterates the default main context until done() is true; returns false if it
+ * is not after MAX_ITERATIONS.
+ */
 bool run_until(const std::function<bool()> &done);
+
+/* Iterates the default main context 30 times. */
 void run_idle();
 
-/* Lets cancelled calls return, so that nothing is left of them. */
+/* Lets cancelled calls return, so that none is left pending. */
 void settle();
 
-/* An event as it was delivered, with what it pointed to copied. */
+/* A copy of a delivered event and of the data that it pointed to. */
 struct recorded {
 	enum event_type type;
 	uint64_t number; /* call or attempt */
@@ -34,6 +39,7 @@
 	struct request *request;
 };
 
+/* An event sink that stores every event. */
 class Recorder
 {
       public:
@@ -46,7 +52,7 @@
 	std::function<void(const recorded &)> on_event;
 };
 
-/* One side of a TCP connection on loopback, never blocking. */
+/* One end of a non-blocking TCP connection on loopback. */
 class Connection
 {
       public:
@@ -65,7 +71,7 @@
 	bool closed;
 };
 
-/* A listening socket on a free port of loopback. */
+/* A listening socket on a free loopback port. */
 class Listener
 {
       public:
--- a/tests/naive_service.h
+++ b/tests/naive_service.h
@@ -6,15 +6,15 @@
 #include <string>
 
 /*
- * What the system is to do, without nodes, links and failures: one process
- * that runs each request where it stands and remembers every id.
+ * Reference model without nodes, links and failures: one process that runs
+ * each request at once and stores the outcome of every id.
  */
 class NaiveService
 {
       public:
 	struct Outcome {
 		bool key_reused;
-		std::string answer; /* plain: the body comes back */
+		std::string answer; /* plain: the request body */
 		int64_t tokens;	    /* generation */
 	};
 
