--- a/adapters/endpoint_attempt.c
+++ b/adapters/endpoint_attempt.c
@@ -138,7 +138,7 @@
 	struct error error;
 
 	if (attempt->resume && not_found)
-		stage = ATTEMPT_GONE;
+		stage = ATTEMPT_NOT_FOUND;
 	else if (!attempt->resume && busy)
 		stage = ATTEMPT_REFUSED;
 	error_set(&error, ERROR_REFUSED, "endpoint.status", attempt->endpoint,
@@ -245,7 +245,7 @@
 static void attempt_on_ended(void *data, const struct error *error)
 {
 	struct endpoint_attempt *attempt = data;
-	bool sent = http_exchange_may_have_left(attempt->exchange);
+	bool sent = http_exchange_may_be_sent(attempt->exchange);
 
 	attempt_ref(attempt);
 	if (error)
@@ -299,7 +299,7 @@
 {
 	const struct endpoint_attempt_owner *owner = attempt->owner;
 	struct http_exchange_options options = {
-		.session = http_sessions_next(owner->sessions),
+		.session = http_session_pool_next(owner->sessions),
 		.message = message,
 		.step = "endpoint.exchange",
 		.peer = attempt->endpoint,
@@ -392,7 +392,7 @@
 		return true;
 	}
 	if (!attempt->exchange ||
-	    !http_exchange_may_have_left(attempt->exchange) || attempt->status)
+	    !http_exchange_may_be_sent(attempt->exchange) || attempt->status)
 		return true;
 	attempt->cancelled = true;
 	attempt->pending_source =
--- a/adapters/endpoint_attempt.h
+++ b/adapters/endpoint_attempt.h
@@ -21,7 +21,7 @@
 struct endpoint_attempt;
 
 struct endpoint_attempt_owner {
-	struct http_sessions *sessions;
+	struct http_session_pool *sessions;
 	const struct event_sink *sink;
 	struct counters *counters;
 	const char *node_name;
--- a/adapters/endpoint_client.c
+++ b/adapters/endpoint_client.c
@@ -181,7 +181,7 @@
 		g_hash_table_new_full(NULL, NULL, control_free, NULL);
 	client->load_rejected =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	owner->sessions = http_sessions_create();
+	owner->sessions = http_session_pool_create();
 	owner->sink = &client->sink;
 	owner->counters = options->counters;
 	owner->node_name = client->node_name;
@@ -202,7 +202,7 @@
 	g_hash_table_unref(client->attempts);
 	g_hash_table_unref(client->controls);
 	g_hash_table_unref(client->load_rejected);
-	http_sessions_destroy(client->owner.sessions);
+	http_session_pool_destroy(client->owner.sessions);
 	g_object_unref(client->control_session);
 	g_free(client->node_name);
 	g_free(client);
--- a/adapters/engine_event.c
+++ b/adapters/engine_event.c
@@ -21,7 +21,7 @@
  */
 bool engine_generation_valid(const char *generation)
 {
-	return event_id_is_token(generation, GENERATION_BYTES_MAX);
+	return event_id_is_safe_name(generation, GENERATION_BYTES_MAX);
 }
 
 static bool object_read_count(JsonObject *object, const char *name,
--- a/adapters/gateway/attempt.c
+++ b/adapters/gateway/attempt.c
@@ -78,7 +78,7 @@
 				  bool has_more_bytes)
 {
 	switch (result) {
-	case HTTP_READER_MORE:
+	case HTTP_READER_INCOMPLETE:
 		return true;
 	case HTTP_READER_COMPLETE:
 		if (!attempt->answer_matches)
@@ -241,7 +241,7 @@
 }
 
 /* Whether any byte of the request may have reached the endpoint. */
-bool attempt_has_sent(const struct attempt *attempt)
+bool attempt_may_have_sent(const struct attempt *attempt)
 {
 	return attempt->is_connected || tcp_stream_has_sent(attempt->stream);
 }
@@ -258,13 +258,13 @@
  * followed the answer, or if part of the request is still unsent: the endpoint
  * would read the next request as the rest of this one.
  */
-void attempt_keep_connection(struct attempt *attempt,
+void attempt_pool_connection(struct attempt *attempt,
 			     struct endpoint_pool *pool, int64_t until_us)
 {
 	if (attempt->has_trailing_bytes ||
 	    http_reader_must_close(attempt->reader) ||
-	    tcp_stream_waiting_bytes(attempt->stream) > 0)
+	    tcp_stream_unsent_bytes(attempt->stream) > 0)
 		return;
-	endpoint_pool_give(pool, attempt->address,
-			   g_steal_pointer(&attempt->stream), until_us);
+	endpoint_pool_put(pool, attempt->address,
+			  g_steal_pointer(&attempt->stream), until_us);
 }
--- a/adapters/gateway/attempt.h
+++ b/adapters/gateway/attempt.h
@@ -47,9 +47,9 @@
 			      struct error *error);
 void attempt_destroy(struct attempt *attempt);
 void attempt_set_reading(struct attempt *attempt, bool reading);
-bool attempt_has_sent(const struct attempt *attempt);
+bool attempt_may_have_sent(const struct attempt *attempt);
 bool attempt_is_connected(const struct attempt *attempt);
-void attempt_keep_connection(struct attempt *attempt,
+void attempt_pool_connection(struct attempt *attempt,
 			     struct endpoint_pool *pool, int64_t until_us);
 
 G_END_DECLS
--- a/adapters/gateway/caller.c
+++ b/adapters/gateway/caller.c
@@ -297,8 +297,8 @@
  * Applies new limits. Open connections keep the header size limit that was
  * in force when they were accepted.
  */
-void caller_set_limits(struct caller_set *set,
-		       const struct caller_limits *limits)
+void caller_set_apply_limits(struct caller_set *set,
+			     const struct caller_limits *limits)
 {
 	set->limits = *limits;
 }
@@ -389,7 +389,7 @@
 }
 
 /* Sets the handler's data for the current request: gone and drained get it. */
-void caller_set_request(struct caller *caller, void *request)
+void caller_attach_request(struct caller *caller, void *request)
 {
 	caller->request = request;
 }
@@ -408,7 +408,7 @@
 	g_string_append_len(out, body, (gssize)body_size);
 	caller_send(caller, out->str, out->len);
 	g_string_free(out, TRUE);
-	caller_end(caller, false);
+	caller_end_answer(caller, false);
 }
 
 /* Sends bytes of the answer, head included, unchanged. */
@@ -424,7 +424,7 @@
  * Ends a complete answer. The connection then closes if must_close is set, if
  * the request asked for it or in a drain; else the next request is parsed.
  */
-void caller_end(struct caller *caller, bool must_close)
+void caller_end_answer(struct caller *caller, bool must_close)
 {
 	struct caller_set *set = caller->set;
 
@@ -443,7 +443,7 @@
  * Closes the connection in the middle of the answer. Its last bytes are
  * missing, so the caller cannot mistake it for a complete one.
  */
-void caller_break(struct caller *caller)
+void caller_abort(struct caller *caller)
 {
 	caller->request = NULL;
 	caller_disconnect(caller);
@@ -458,5 +458,5 @@
 /* Bytes queued for the caller and not sent yet; 0 once closed. */
 size_t caller_waiting_bytes(const struct caller *caller)
 {
-	return caller->stream ? tcp_stream_waiting_bytes(caller->stream) : 0;
+	return caller->stream ? tcp_stream_unsent_bytes(caller->stream) : 0;
 }
--- a/adapters/gateway/caller.h
+++ b/adapters/gateway/caller.h
@@ -21,7 +21,7 @@
 struct caller_handler {
 	/*
 	 * A complete request. The handler owns head and body, and answers with
-	 * caller_answer, or with caller_send and caller_end.
+	 * caller_answer, or with caller_send and caller_end_answer.
 	 */
 	void (*request)(void *data, struct caller *caller,
 			struct http_head *head, GByteArray *body);
@@ -38,20 +38,20 @@
 struct caller_set *caller_set_create(const struct caller_handler *handler,
 				     size_t max_callers);
 void caller_set_destroy(struct caller_set *set);
-void caller_set_limits(struct caller_set *set,
-		       const struct caller_limits *limits);
+void caller_set_apply_limits(struct caller_set *set,
+			     const struct caller_limits *limits);
 void caller_set_accept(struct caller_set *set, int fd, int64_t now_us);
 void caller_set_step(struct caller_set *set, int64_t now_us);
 void caller_set_drain(struct caller_set *set);
 void caller_set_close_idle(struct caller_set *set);
 size_t caller_set_busy_count(const struct caller_set *set);
 
-void caller_set_request(struct caller *caller, void *request);
+void caller_attach_request(struct caller *caller, void *request);
 void caller_answer(struct caller *caller, int32_t status, const char *fields,
 		   const char *body, size_t body_size);
 void caller_send(struct caller *caller, const char *bytes, size_t size);
-void caller_end(struct caller *caller, bool must_close);
-void caller_break(struct caller *caller);
+void caller_end_answer(struct caller *caller, bool must_close);
+void caller_abort(struct caller *caller);
 bool caller_will_close(const struct caller *caller);
 size_t caller_waiting_bytes(const struct caller *caller);
 const char *http_status_text(int32_t status);
--- a/adapters/gateway/dialect.h
+++ b/adapters/gateway/dialect.h
@@ -44,8 +44,9 @@
 /* Fields of an endpoint's answer other than status and body. */
 struct endpoint_answer {
 	bool did_not_run;
-	bool promises_not_run; /* callers conclude it from the status */
-	bool is_own; /* from the endpoint, not from a proxy before it */
+	bool status_implies_not_run; /* callers conclude it from the status */
+	bool is_from_endpoint; /* from the endpoint, not from a proxy before it
+				*/
 	bool is_event_stream;
 	int64_t keep_alive_us; /* allowed idle time of the connection; -1: none
 				*/
@@ -66,15 +67,15 @@
 			      const GByteArray *body, GString *out);
 	void (*read_answer)(const struct http_head *head,
 			    struct endpoint_answer *answer);
-	void (*write_move)(const char *address, const char *id,
-			   const char *target, GString *out);
-	bool (*read_move)(GBytes *body, struct move_answer *answer);
-	void (*write_report)(const char *address, GString *out);
-	bool (*read_report_leaves)(GBytes *body);
+	void (*write_move_request)(const char *address, const char *id,
+				   const char *target, GString *out);
+	bool (*read_move_answer)(GBytes *body, struct move_answer *answer);
+	void (*write_report_request)(const char *address, GString *out);
+	bool (*read_report_is_leaving)(GBytes *body);
 	/* Requests about the nodes themselves; any other one gets a 404. */
 	GBytes *(*write_addresses)(const GPtrArray *addresses, int64_t keep_us);
-	bool (*is_ready_question)(const struct http_head *head);
-	bool (*is_address_question)(const struct http_head *head);
+	bool (*is_ready_request)(const struct http_head *head);
+	bool (*is_address_request)(const struct http_head *head);
 };
 
 G_END_DECLS
--- a/adapters/gateway/endpoint_pool.c
+++ b/adapters/gateway/endpoint_pool.c
@@ -95,8 +95,8 @@
 }
 
 /* Adds a connection, which the pool owns until it is taken or expires. */
-void endpoint_pool_give(struct endpoint_pool *pool, const char *address,
-			struct tcp_stream *stream, int64_t until_us)
+void endpoint_pool_put(struct endpoint_pool *pool, const char *address,
+		       struct tcp_stream *stream, int64_t until_us)
 {
 	struct idle *idle = g_new0(struct idle, 1);
 
--- a/adapters/gateway/endpoint_pool.h
+++ b/adapters/gateway/endpoint_pool.h
@@ -18,8 +18,8 @@
 void endpoint_pool_destroy(struct endpoint_pool *pool);
 struct tcp_stream *endpoint_pool_take(struct endpoint_pool *pool,
 				      const char *address, int64_t now_us);
-void endpoint_pool_give(struct endpoint_pool *pool, const char *address,
-			struct tcp_stream *stream, int64_t until_us);
+void endpoint_pool_put(struct endpoint_pool *pool, const char *address,
+		       struct tcp_stream *stream, int64_t until_us);
 void endpoint_pool_step(struct endpoint_pool *pool, int64_t now_us);
 
 G_END_DECLS
--- a/adapters/gateway/event_scanner.c
+++ b/adapters/gateway/event_scanner.c
@@ -120,7 +120,7 @@
 }
 
 /* Whether the bytes so far end at the boundary of an event. */
-bool event_scanner_is_between(const struct event_scanner *scanner)
+bool event_scanner_at_boundary(const struct event_scanner *scanner)
 {
 	return scanner->partial->len == 0;
 }
--- a/adapters/gateway/event_scanner.h
+++ b/adapters/gateway/event_scanner.h
@@ -25,7 +25,7 @@
 bool event_scanner_feed(struct event_scanner *scanner, const char *bytes,
 			size_t size);
 void event_scanner_reset(struct event_scanner *scanner);
-bool event_scanner_is_between(const struct event_scanner *scanner);
+bool event_scanner_at_boundary(const struct event_scanner *scanner);
 
 G_END_DECLS
 
--- a/adapters/gateway/exchange.c
+++ b/adapters/gateway/exchange.c
@@ -29,8 +29,8 @@
 {
 	struct exchange *exchange = data;
 
-	exchange_forget_home(exchange);
-	g_free(exchange->chosen_backup);
+	exchange_cancel_home_request(exchange);
+	g_free(exchange->home_backup_id);
 	exchange_drop_legs(exchange);
 	http_head_destroy(exchange->head);
 	g_byte_array_unref(exchange->body);
@@ -129,7 +129,7 @@
 	counters_add(exchange->gateway->options.counters,
 		     COUNTER_GATEWAY_BROKEN, 1);
 	exchange_end(exchange, "broken", reason);
-	caller_break(caller);
+	caller_abort(caller);
 }
 
 /* The caller disconnected: closing the engine's connection cancels the run. */
@@ -141,18 +141,19 @@
 }
 
 /* The caller's send buffer is empty: reads from the endpoint again. */
-void exchange_caller_drained(struct exchange *exchange)
+void exchange_resume_reading(struct exchange *exchange)
 {
 	if (exchange->leg && exchange->leg->attempt)
 		attempt_set_reading(exchange->leg->attempt, true);
 }
 
 /* Fills the criteria by which endpoint_choose selects for this request. */
-void exchange_wish(const struct exchange *exchange, struct endpoint_wish *wish)
+void exchange_fill_criteria(const struct exchange *exchange,
+			    struct endpoint_criteria *wish)
 {
 	struct gateway *gateway = exchange->gateway;
 
-	*wish = (struct endpoint_wish){
+	*wish = (struct endpoint_criteria){
 		.service = exchange->service_name,
 		.engine = exchange->service ? &exchange->service->engine : NULL,
 		.failure_domain = gateway->options.failure_domain,
@@ -195,7 +196,8 @@
 }
 
 /* Sends the request to the endpoint; refuses it if the endpoint is NULL. */
-void exchange_place(struct exchange *exchange, struct endpoint *endpoint)
+void exchange_send_or_refuse(struct exchange *exchange,
+			     struct endpoint *endpoint)
 {
 	struct gateway *gateway = exchange->gateway;
 
@@ -205,8 +207,8 @@
 	}
 	if (exchange->runs > 0)
 		exchange_refuse(exchange, 502, -1, "no_other_endpoint");
-	else if (registry_ready_count(gateway->registry,
-				      exchange->service_name) == 0)
+	else if (registry_count_usable(gateway->registry,
+				       exchange->service_name) == 0)
 		exchange_refuse(exchange, 503, RETRY_LATER_US, "no_endpoint");
 	else
 		exchange_refuse(
@@ -217,20 +219,20 @@
 }
 
 /* Sends the request to the endpoint that this node selects itself. */
-void exchange_choose(struct exchange *exchange)
+void exchange_send_local_choice(struct exchange *exchange)
 {
-	struct endpoint_wish wish;
+	struct endpoint_criteria wish;
 
-	exchange_wish(exchange, &wish);
-	exchange_place(exchange,
-		       endpoint_choose(exchange->gateway->registry, &wish));
+	exchange_fill_criteria(exchange, &wish);
+	exchange_send_or_refuse(
+		exchange, endpoint_choose(exchange->gateway->registry, &wish));
 }
 
 /* Sends the request to an endpoint that the home or this node selects. */
 void exchange_send_new(struct exchange *exchange)
 {
-	if (!exchange_ask_home(exchange))
-		exchange_choose(exchange);
+	if (!exchange_request_home(exchange))
+		exchange_send_local_choice(exchange);
 }
 
 static bool exchange_may_begin(const struct exchange *exchange)
@@ -238,9 +240,9 @@
 	const struct gateway *gateway = exchange->gateway;
 
 	return !gateway->drain_since_us ||
-	       drain_may_begin(exchange->route->kind,
-			       gateway->now_us - gateway->drain_since_us,
-			       gateway->options.drain_us);
+	       drain_allows_request(exchange->route->kind,
+				    gateway->now_us - gateway->drain_since_us,
+				    gateway->options.drain_us);
 }
 
 /* Finds the caller's organisation. Returns false if the request was refused. */
@@ -390,7 +392,7 @@
 	exchange->tried = g_ptr_array_new_with_free_func(g_free);
 	exchange->answer_body = g_byte_array_new();
 	g_hash_table_add(gateway->exchanges, exchange);
-	caller_set_request(caller, exchange);
+	caller_attach_request(caller, exchange);
 	counters_add(gateway->options.counters, COUNTER_GATEWAY_REQUESTS, 1);
 	if (!gateway->dialect->read_request(head, &exchange->asked, &error)) {
 		exchange_refuse(exchange, 400, -1, error.detail);
@@ -398,7 +400,7 @@
 	}
 	if (!exchange_find_route(exchange) || !exchange_plan(exchange))
 		return;
-	retry_window_count_first(
+	retry_window_count_request(
 		gateway_budget(gateway, exchange->service_name));
 	exchange_send_new(exchange);
 }
--- a/adapters/gateway/exchange_answer.c
+++ b/adapters/gateway/exchange_answer.c
@@ -187,14 +187,14 @@
 		.kind = exchange->route->kind,
 		.result = RESULT_ERROR,
 		.budget_left =
-			retry_window_left(gateway_budget(
+			retry_window_remaining(gateway_budget(
 				exchange->gateway, exchange->service_name)) > 0,
 		.runs = exchange->runs,
 		.sends = exchange->sends,
 		.max_attempts = exchange->route->max_attempts,
 	};
 
-	if (recovery_decide(&input) == RECOVERY_PASS_ON)
+	if (recovery_decide(&input) == RECOVERY_FORWARD)
 		return true;
 	exchange_fail_leg(exchange, RESULT_ERROR, "endpoint's own error");
 	return false;
@@ -206,7 +206,7 @@
  */
 static bool exchange_has_unsafe_status(const struct exchange *exchange)
 {
-	return exchange->said.promises_not_run &&
+	return exchange->said.status_implies_not_run &&
 	       exchange->route->kind != ROUTE_IDEMPOTENT;
 }
 
@@ -218,7 +218,8 @@
 				     const struct http_head *head)
 {
 	struct exchange *exchange = leg->exchange;
-	bool is_good = head->status == STATUS_OK && exchange->said.is_own;
+	bool is_good =
+		head->status == STATUS_OK && exchange->said.is_from_endpoint;
 
 	if (leg == exchange->next && is_good)
 		exchange_promote_next(exchange);
@@ -250,7 +251,7 @@
 	}
 	exchange->runs++;
 	exchange->status = head->status;
-	if (!exchange->said.is_own) {
+	if (!exchange->said.is_from_endpoint) {
 		exchange_fail_leg(exchange, RESULT_BROKEN,
 				  "not an endpoint's answer");
 		return;
@@ -315,7 +316,7 @@
 		keep_us = MIN(keep_us,
 			      exchange->said.keep_alive_us - KEEP_MARGIN_US);
 	if (keep_us > 0)
-		attempt_keep_connection(exchange->leg->attempt, gateway->pool,
+		attempt_pool_connection(exchange->leg->attempt, gateway->pool,
 					gateway->now_us + keep_us);
 }
 
@@ -345,13 +346,15 @@
 	struct counters *counters = exchange->gateway->options.counters;
 
 	if (exchange->event_count == 0) {
-		counters_time(counters, LATENCY_PLAIN,
-			      exchange->gateway->now_us - exchange->begun_us);
+		counters_add_latency(counters, LATENCY_PLAIN,
+				     exchange->gateway->now_us -
+					     exchange->begun_us);
 		return;
 	}
-	counters_time(counters, LATENCY_FIRST_EVENT,
-		      exchange->first_event_us - exchange->begun_us);
-	counters_time(counters, LATENCY_PAUSE, exchange->longest_pause_us);
+	counters_add_latency(counters, LATENCY_FIRST_EVENT,
+			     exchange->first_event_us - exchange->begun_us);
+	counters_add_latency(counters, LATENCY_PAUSE,
+			     exchange->longest_pause_us);
 }
 
 static void on_whole(void *data)
@@ -361,7 +364,7 @@
 	struct endpoint *endpoint = leg_endpoint(leg);
 	struct caller *caller = exchange->caller;
 
-	if (leg->events && !event_scanner_is_between(leg->events)) {
+	if (leg->events && !event_scanner_at_boundary(leg->events)) {
 		exchange_fail_leg(exchange, RESULT_BROKEN,
 				  "answer ended within an event");
 		return;
@@ -371,8 +374,8 @@
 					       exchange->gateway->now_us);
 	exchange_count_times(exchange);
 	if (exchange_is_generation(exchange))
-		quarantine_report_whole(exchange->gateway->quarantine,
-					exchange->fingerprint);
+		quarantine_report_success(exchange->gateway->quarantine,
+					  exchange->fingerprint);
 	exchange_keep_connection(exchange);
 	if (!exchange->answer_begun)
 		exchange_send_buffered(exchange);
@@ -381,7 +384,7 @@
 	counters_add(exchange->gateway->options.counters, COUNTER_GATEWAY_WHOLE,
 		     1);
 	exchange_end(exchange, "whole", "");
-	caller_end(caller, false);
+	caller_end_answer(caller, false);
 }
 
 static void on_failed(void *data, const struct error *error)
@@ -389,7 +392,7 @@
 	struct leg *leg = data;
 	struct exchange *exchange = leg->exchange;
 	bool was_sent = error->code != ERROR_UNREACHABLE ||
-			attempt_has_sent(leg->attempt);
+			attempt_may_have_sent(leg->attempt);
 
 	exchange->gateway->now_us = gateway_now_us();
 	leg->has_timed_out = error->code == ERROR_TIMEOUT;
--- a/adapters/gateway/exchange_move.c
+++ b/adapters/gateway/exchange_move.c
@@ -31,7 +31,7 @@
 		return;
 	target->own.copies += sign;
 	target->own.tokens += sign * exchange->move.tokens;
-	exchange->gateway->held_changed = true;
+	exchange->gateway->announce_pending = true;
 }
 
 /* Gives up a copy; the next step tries another target. */
@@ -62,10 +62,10 @@
 	const struct move *move = &exchange->move;
 	struct endpoint *target = NULL;
 
-	if (move->state == COPY_WHOLE)
+	if (move->state == COPY_COMPLETE)
 		target = registry_find(exchange->gateway->registry,
 				       move->target_id);
-	return target && endpoint_keeps_since(target, move->target_known_us)
+	return target && endpoint_is_same_start(target, move->target_known_us)
 		       ? target
 		       : NULL;
 }
@@ -104,7 +104,7 @@
 	struct move *move = &exchange->move;
 
 	attempt_destroy(g_steal_pointer(&move->call));
-	move->state = COPY_WHOLE;
+	move->state = COPY_COMPLETE;
 	move->handle = handle;
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "move_whole",
 		  "request", exchange->asked.id, "from",
@@ -121,7 +121,7 @@
 	exchange->gateway->now_us = gateway_now_us();
 	if (exchange->move.status != STATUS_OK)
 		exchange_move_fail(exchange, "refused");
-	else if (exchange->gateway->dialect->read_move(body, &answer))
+	else if (exchange->gateway->dialect->read_move_answer(body, &answer))
 		move_accept_copy(exchange, answer.handle);
 	else
 		exchange_move_fail(exchange, "unreadable");
@@ -163,10 +163,11 @@
 	};
 	struct error error;
 
-	gateway->dialect->write_move(options.address, exchange->asked.id,
-				     move->target_address, options.request);
+	gateway->dialect->write_move_request(
+		options.address, exchange->asked.id, move->target_address,
+		options.request);
 	attempt_destroy(g_steal_pointer(&move->call));
-	move->state = COPY_UNDER_WAY;
+	move->state = COPY_IN_PROGRESS;
 	move->since_us = gateway->now_us;
 	move->status = 0;
 	g_byte_array_set_size(move->body, 0);
@@ -181,14 +182,14 @@
 {
 	struct gateway *gateway = exchange->gateway;
 	struct move *move = &exchange->move;
-	struct endpoint_wish wish;
+	struct endpoint_criteria wish;
 	struct endpoint *target;
 
-	exchange_wish(exchange, &wish);
-	wish.avoid_also = exchange->leg->endpoint_id;
+	exchange_fill_criteria(exchange, &wish);
+	wish.avoid_id = exchange->leg->endpoint_id;
 	wish.failure_domain = leg_endpoint(exchange->leg)->said->failure_domain;
 	wish.far_weight = OTHER_DOMAIN_WEIGHT;
-	target = endpoint_choose_rescue(gateway->registry, &wish);
+	target = endpoint_choose_for_move(gateway->registry, &wish);
 	if (!target)
 		return;
 	move->target_id = g_strdup(target->said->id);
--- a/adapters/gateway/exchange_recover.c
+++ b/adapters/gateway/exchange_recover.c
@@ -27,7 +27,7 @@
 	const struct leg *leg = exchange->leg;
 	const struct endpoint *backup = leg_backup(leg);
 
-	return backup && endpoint_keeps_since(backup, leg->backup_known_us) &&
+	return backup && endpoint_is_same_start(backup, leg->backup_known_us) &&
 	       !exchange->copy_failed;
 }
 
@@ -63,7 +63,8 @@
 	input->copy_failures = exchange->move.failures;
 	input->copy_us = exchange->gateway->now_us - exchange->move.since_us;
 	input->target_serves = target != NULL;
-	input->target_reads_prompts = target && endpoint_reads_prompts(target);
+	input->target_reads_prompts =
+		target && endpoint_has_unread_prompts(target);
 }
 
 static struct evacuation_input read_input(const struct exchange *exchange)
@@ -82,11 +83,11 @@
 				exchange->service->engine.tokens_per_event,
 			exchange->expected_tokens),
 		.budget_left =
-			retry_window_left(gateway_budget(
+			retry_window_remaining(gateway_budget(
 				exchange->gateway, exchange->service_name)) > 0,
 		.has_backup = has_backup(exchange),
 		.backup_reads_prompts =
-			backup && endpoint_reads_prompts(backup),
+			backup && endpoint_has_unread_prompts(backup),
 	};
 
 	read_copy(exchange, &input);
@@ -116,7 +117,7 @@
 	if (!exchange_is_generation(exchange))
 		return place;
 	input = read_input(exchange);
-	input.broke_off =
+	input.failed_in_reach =
 		result != RESULT_SLOW && !exchange->leg->has_timed_out;
 	switch (evacuation_source(&input)) {
 	case EVACUATION_FROM_COPY:
@@ -152,9 +153,10 @@
 	exchange->crashes++;
 	quarantine_report_crash(gateway->quarantine, exchange->fingerprint,
 				exchange->leg->endpoint_id, gateway->now_us);
-	gateway_peers_tell_crash(gateway, exchange->fingerprint,
-				 exchange->leg->endpoint_id);
-	gateway_take_failure(gateway, OWN_REPORTER, exchange->leg->endpoint_id);
+	gateway_peers_announce_crash(gateway, exchange->fingerprint,
+				     exchange->leg->endpoint_id);
+	gateway_add_failure_notice(gateway, OWN_REPORTER,
+				   exchange->leg->endpoint_id);
 }
 
 static void count_failure(struct exchange *exchange, enum attempt_result result)
@@ -211,7 +213,7 @@
 	struct retry_window *budget =
 		gateway_budget(exchange->gateway, exchange->service_name);
 	bool may_move = exchange->crashes < MAX_CRASHES;
-	bool has_budget = retry_window_left(budget) > 0;
+	bool has_budget = retry_window_remaining(budget) > 0;
 	struct recovery_input input = {
 		.kind = exchange->route->kind,
 		.result = result,
@@ -311,7 +313,7 @@
 		exchange_refuse(exchange, 503, RETRY_SOON_US,
 				attempt_result_name(result));
 		break;
-	case RECOVERY_PASS_ON:
+	case RECOVERY_FORWARD:
 	case RECOVERY_FAIL:
 		exchange_refuse(exchange, 502, -1, attempt_result_name(result));
 		break;
@@ -365,8 +367,9 @@
 static void time_out(struct exchange *exchange)
 {
 	const struct leg *leg = exchange->leg;
-	bool may_run = exchange->runs > 0 ||
-		       (leg && leg->attempt && attempt_has_sent(leg->attempt));
+	bool may_run =
+		exchange->runs > 0 ||
+		(leg && leg->attempt && attempt_may_have_sent(leg->attempt));
 
 	if (exchange->answer_begun)
 		exchange_break(exchange, "deadline");
@@ -399,7 +402,7 @@
 		exchange_move_begin(exchange);
 		break;
 	case EVACUATION_DROP_COPY:
-		exchange_move_fail(exchange, input.copy == COPY_WHOLE
+		exchange_move_fail(exchange, input.copy == COPY_COMPLETE
 						     ? "no_target"
 						     : "timeout");
 		break;
@@ -410,7 +413,7 @@
 		exchange_hand_over(exchange, backup, backup->said->address,
 				   exchange->asked.id, "leaving");
 		break;
-	case EVACUATION_LET_OLD_GO:
+	case EVACUATION_RELEASE_OLD:
 		exchange_promote_next(exchange);
 		break;
 	case EVACUATION_DROP_ASKED:
@@ -433,7 +436,7 @@
 		return;
 	}
 	if (!leg) {
-		exchange_step_asking(exchange);
+		exchange_check_home_timeout(exchange);
 		return;
 	}
 	if (!attempt_is_connected(leg->attempt) &&
@@ -449,19 +452,19 @@
 }
 
 /*
- * Shifts the timers after a pause of this process of stood_us: data that the
+ * Shifts the timers after a pause of this process of paused_us: data that the
  * endpoints sent meanwhile is still unread.
  */
-void exchange_excuse(struct exchange *exchange, int64_t stood_us)
+void exchange_excuse_pause(struct exchange *exchange, int64_t paused_us)
 {
 	struct leg *legs[] = {exchange->leg, exchange->next};
 
-	exchange->asked_home_us += stood_us;
+	exchange->home_requested_us += paused_us;
 	for (size_t i = 0; i < G_N_ELEMENTS(legs); i++) {
 		if (!legs[i])
 			continue;
-		legs[i]->sent_us += stood_us;
+		legs[i]->sent_us += paused_us;
 		if (legs[i]->last_received_us)
-			legs[i]->last_received_us += stood_us;
+			legs[i]->last_received_us += paused_us;
 	}
 }
--- a/adapters/gateway/exchange_state.h
+++ b/adapters/gateway/exchange_state.h
@@ -69,9 +69,9 @@
 	int64_t deadline_us;
 	int64_t expected_tokens; /* of the answer; 0: no generation */
 
-	uint64_t question;     /* id of the request to the home; 0: none */
-	int64_t asked_home_us; /* when it was sent */
-	char *chosen_backup;   /* from the home, for the next leg */
+	uint64_t question;	   /* id of the request to the home; 0: none */
+	int64_t home_requested_us; /* when it was sent */
+	char *home_backup_id;	   /* from the home, for the next leg */
 
 	struct leg *leg;  /* NULL between two dispatches */
 	struct leg *next; /* takes over while leg still runs, or NULL */
@@ -117,16 +117,18 @@
 void exchange_end(struct exchange *exchange, const char *outcome,
 		  const char *reason);
 bool exchange_is_generation(const struct exchange *exchange);
-void exchange_wish(const struct exchange *exchange, struct endpoint_wish *wish);
+void exchange_fill_criteria(const struct exchange *exchange,
+			    struct endpoint_criteria *wish);
 void exchange_send_new(struct exchange *exchange);
-void exchange_choose(struct exchange *exchange);
-void exchange_place(struct exchange *exchange, struct endpoint *endpoint);
+void exchange_send_local_choice(struct exchange *exchange);
+void exchange_send_or_refuse(struct exchange *exchange,
+			     struct endpoint *endpoint);
 bool exchange_wants_backup(const struct exchange *exchange);
 
 /* gateway_home.c */
-bool exchange_ask_home(struct exchange *exchange);
-void exchange_forget_home(struct exchange *exchange);
-void exchange_step_asking(struct exchange *exchange);
+bool exchange_request_home(struct exchange *exchange);
+void exchange_cancel_home_request(struct exchange *exchange);
+void exchange_check_home_timeout(struct exchange *exchange);
 
 /* exchange_recover.c */
 void exchange_fail_leg(struct exchange *exchange, enum attempt_result result,
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -75,7 +75,7 @@
 static void on_drained(void *data, void *request)
 {
 	(void)data;
-	exchange_caller_drained(request);
+	exchange_resume_reading(request);
 }
 
 static void answer_addresses(struct gateway *gateway, struct caller *caller)
@@ -91,7 +91,7 @@
 		return;
 	}
 	body = gateway->dialect->write_addresses(
-		addresses, gateway->options.address_keep_us);
+		addresses, gateway->options.directory_ttl_us);
 	text = g_bytes_get_data(body, &size);
 	caller_answer(caller, 200, "Content-Type: application/json\r\n", text,
 		      size);
@@ -106,11 +106,11 @@
 	struct gateway *gateway = data;
 
 	gateway->now_us = gateway_now_us();
-	if (gateway->dialect->is_ready_question(head))
+	if (gateway->dialect->is_ready_request(head))
 		caller_answer(caller,
 			      gateway_accepts_requests(gateway) ? 200 : 503,
 			      NULL, "", 0);
-	else if (gateway->dialect->is_address_question(head))
+	else if (gateway->dialect->is_address_request(head))
 		answer_addresses(gateway, caller);
 	else
 		caller_answer(caller, 404, NULL, "", 0);
@@ -163,7 +163,7 @@
 
 	g_hash_table_iter_init(&iter, gateway->exchanges);
 	while (g_hash_table_iter_next(&iter, &exchange, NULL))
-		exchange_excuse(exchange, paused_us);
+		exchange_excuse_pause(exchange, paused_us);
 }
 
 /* Engines offer a load report, endpoints of plain services don't. */
@@ -299,7 +299,7 @@
 	gateway->now_us = gateway_now_us();
 	gateway->store_watch.entries = true;
 	gateway->newest_version = -1;
-	standing_pace_init(&gateway->pace, gateway->now_us);
+	announce_pace_init(&gateway->pace, gateway->now_us);
 	gateway->registry = registry_create();
 	quarantine_options_default(&quarantine);
 	gateway->quarantine = quarantine_create(&quarantine);
@@ -355,11 +355,11 @@
 
 /* Applies changed settings. The retry limit is percent plus extra. */
 void gateway_set_limits(struct gateway *gateway, int64_t drain_us,
-			int64_t address_keep_us, int64_t retry_percent,
+			int64_t directory_ttl_us, int64_t retry_percent,
 			int64_t retry_extra)
 {
 	gateway->options.drain_us = drain_us;
-	gateway->options.address_keep_us = address_keep_us;
+	gateway->options.directory_ttl_us = directory_ttl_us;
 	gateway->options.retry_percent = retry_percent;
 	gateway->options.retry_extra = retry_extra;
 	shared_budgets_set_limits(gateway->budgets, (int32_t)retry_percent,
--- a/adapters/gateway/gateway.h
+++ b/adapters/gateway/gateway.h
@@ -30,10 +30,10 @@
 	const char *ready_address;     /* "": none */
 	const char *directory_address; /* "": none */
 	int64_t max_connections;
-	int64_t drain_us;	 /* from SIGTERM to the end */
-	int64_t address_keep_us; /* callers cache the addresses */
-	int64_t retry_percent;	 /* resends, in % of requests */
-	int64_t retry_extra;	 /* plus these a window, all nodes */
+	int64_t drain_us;	  /* from SIGTERM to the end */
+	int64_t directory_ttl_us; /* callers cache the addresses */
+	int64_t retry_percent;	  /* resends, in % of requests */
+	int64_t retry_extra;	  /* plus these a window, all nodes */
 	int64_t retry_window_us;
 	int64_t home_from_nodes; /* fewer nodes: no home */
 	uint64_t seed;
@@ -68,21 +68,21 @@
 void gateway_destroy(struct gateway *gateway);
 void gateway_drain(struct gateway *gateway);
 void gateway_set_limits(struct gateway *gateway, int64_t drain_us,
-			int64_t address_keep_us, int64_t retry_percent,
+			int64_t directory_ttl_us, int64_t retry_percent,
 			int64_t retry_extra);
 
 /* Input from the store. */
-void gateway_take_table(struct gateway *gateway, struct route_table *table,
-			GBytes *document, const char *source);
-void gateway_take_changes(struct gateway *gateway, const GPtrArray *list);
-void gateway_take_registrations(struct gateway *gateway, const GPtrArray *list,
-				int64_t revision);
-void gateway_take_store(struct gateway *gateway, bool is_reached);
-void gateway_take_store_answer(struct gateway *gateway);
+void gateway_apply_table(struct gateway *gateway, struct route_table *table,
+			 GBytes *document, const char *source);
+void gateway_apply_changes(struct gateway *gateway, const GPtrArray *list);
+void gateway_apply_listing(struct gateway *gateway, const GPtrArray *list,
+			   int64_t revision);
+void gateway_set_store_reached(struct gateway *gateway, bool is_reached);
+void gateway_store_answered(struct gateway *gateway);
 
 /* Input from the gateway of another node. */
-void gateway_take_peer(struct gateway *gateway,
-		       const struct peer_message *message);
+void gateway_receive_peer(struct gateway *gateway,
+			  const struct peer_message *message);
 
 int64_t gateway_now_us(void);
 
--- a/adapters/gateway/gateway_home.c
+++ b/adapters/gateway/gateway_home.c
@@ -73,7 +73,7 @@
 /*
  * Requests an engine from the home; false if this node has to choose locally.
  */
-bool exchange_ask_home(struct exchange *exchange)
+bool exchange_request_home(struct exchange *exchange)
 {
 	struct gateway *gateway = exchange->gateway;
 	const struct member *home;
@@ -86,7 +86,7 @@
 		return false;
 	set_home_address(gateway, home);
 	exchange->question = ++gateway->home_request_count;
-	exchange->asked_home_us = gateway->now_us;
+	exchange->home_requested_us = gateway->now_us;
 	g_hash_table_insert(gateway->home_requests, &exchange->question,
 			    exchange);
 	gateway_send(gateway, home->peer_address,
@@ -96,7 +96,7 @@
 }
 
 /* Stops waiting for the home's answer, if the exchange waits for one. */
-void exchange_forget_home(struct exchange *exchange)
+void exchange_cancel_home_request(struct exchange *exchange)
 {
 	if (!exchange->question)
 		return;
@@ -106,19 +106,20 @@
 }
 
 /* Chooses an engine locally once the home's answer has timed out. */
-void exchange_step_asking(struct exchange *exchange)
+void exchange_check_home_timeout(struct exchange *exchange)
 {
 	struct gateway *gateway = exchange->gateway;
 
-	if (gateway->now_us - exchange->asked_home_us <= HOME_ANSWER_TIMEOUT_US)
+	if (gateway->now_us - exchange->home_requested_us <=
+	    HOME_ANSWER_TIMEOUT_US)
 		return;
 	if (gateway->home_skipped_until_us < gateway->now_us)
 		log_write(gateway->log, LOG_LEVEL_WARN, "home_silent",
 			  "address", gateway->home_address, NULL);
 	gateway->home_skipped_until_us = gateway->now_us + HOME_SKIP_US;
 	counters_add(gateway->options.counters, COUNTER_GATEWAY_HOME_SILENT, 1);
-	exchange_forget_home(exchange);
-	exchange_choose(exchange);
+	exchange_cancel_home_request(exchange);
+	exchange_send_local_choice(exchange);
 }
 
 /*
@@ -143,12 +144,12 @@
  */
 void gateway_home_step(struct gateway *gateway)
 {
-	engine_grants_step(gateway->grants, gateway->now_us);
-	if (!gateway->home_address || !gateway->home_untold ||
+	engine_grants_expire(gateway->grants, gateway->now_us);
+	if (!gateway->home_address || !gateway->home_announce_pending ||
 	    gateway->now_us - gateway->home_announced_us <
 		    HOME_ANNOUNCE_INTERVAL_US)
 		return;
-	gateway->home_untold = false;
+	gateway->home_announce_pending = false;
 	gateway->home_announced_us = gateway->now_us;
 	gateway_send(gateway, gateway->home_address,
 		     gateway_create_standing(gateway));
@@ -159,7 +160,7 @@
 				   const struct config_service *service,
 				   struct endpoint **backup)
 {
-	struct endpoint_wish wish = {
+	struct endpoint_criteria wish = {
 		.service = choose->service,
 		.engine = &service->engine,
 		.failure_domain = choose->failure_domain,
@@ -172,7 +173,7 @@
 
 	*backup = NULL;
 	if (endpoint && choose->wants_backup) {
-		wish.avoid_also = endpoint->said->id;
+		wish.avoid_id = endpoint->said->id;
 		*backup = endpoint_choose_backup(gateway->registry, &wish);
 	}
 	return endpoint;
@@ -196,7 +197,7 @@
 	struct engine_grant grant;
 
 	if (!service || service->engine.slots == 0 ||
-	    registry_ready_count(gateway->registry, choose->service) == 0)
+	    registry_count_usable(gateway->registry, choose->service) == 0)
 		return;
 	endpoint = choose_for(gateway, choose, service, &backup);
 	answer = gateway->host.message(gateway->host.data, PEER_CHOSEN);
@@ -238,16 +239,16 @@
 
 	if (!exchange)
 		return;
-	exchange_forget_home(exchange);
+	exchange_cancel_home_request(exchange);
 	endpoint = registry_find(gateway->registry, chosen->endpoint);
 	if (!*chosen->endpoint) {
-		exchange_place(exchange, NULL);
+		exchange_send_or_refuse(exchange, NULL);
 	} else if (!endpoint || !endpoint_is_usable(endpoint) ||
 		   is_tried(exchange, chosen->endpoint)) {
-		exchange_choose(exchange);
+		exchange_send_local_choice(exchange);
 	} else {
-		g_free(exchange->chosen_backup);
-		exchange->chosen_backup = g_strdup(chosen->backup);
-		exchange_place(exchange, endpoint);
+		g_free(exchange->home_backup_id);
+		exchange->home_backup_id = g_strdup(chosen->backup);
+		exchange_send_or_refuse(exchange, endpoint);
 	}
 }
--- a/adapters/gateway/gateway_peers.c
+++ b/adapters/gateway/gateway_peers.c
@@ -43,7 +43,7 @@
 static int64_t periods_us(const struct gateway *gateway, int64_t periods)
 {
 	return periods *
-	       standing_pace_period_us(gateway_node_count(gateway) - 1);
+	       announce_pace_period_us(gateway_node_count(gateway) - 1);
 }
 
 /* Whether a standing of the node came within the given number of periods. */
@@ -72,7 +72,7 @@
 
 		if (own->requests == 0 && own->copies == 0)
 			continue;
-		held = peer_standing_add(standing, endpoint->key);
+		held = peer_standing_add_held(standing, endpoint->key);
 		held->requests = own->requests;
 		held->copies = own->copies;
 		held->tokens = own->tokens;
@@ -114,7 +114,7 @@
 
 	standing->table_version = gateway_table_version(gateway);
 	standing->answered = gateway_home_answered(gateway);
-	standing->takes_work = gateway_accepts_requests(gateway);
+	standing->accepts_requests = gateway_accepts_requests(gateway);
 	standing->reaches_store = gateway->store_is_reached;
 	standing->callers_address = g_strdup(gateway->options.address);
 	add_held(gateway, standing);
@@ -170,15 +170,15 @@
  * Records the failure notice of a node, this one or another, whose request the
  * endpoint aborted. Further notices may put the endpoint aside for a time.
  */
-void gateway_take_failure(struct gateway *gateway, uint64_t reporter,
-			  const char *endpoint_id)
+void gateway_add_failure_notice(struct gateway *gateway, uint64_t reporter,
+				const char *endpoint_id)
 {
 	struct endpoint *endpoint =
 		registry_find(gateway->registry, endpoint_id);
 	char aside[24];
 
-	if (!endpoint ||
-	    !endpoint_word_take(&endpoint->word, reporter, gateway->now_us))
+	if (!endpoint || !endpoint_suspicion_add_notice(
+				 &endpoint->word, reporter, gateway->now_us))
 		return;
 	g_snprintf(aside, sizeof(aside), "%" G_GINT64_FORMAT,
 		   endpoint->word.aside_us / 1000);
@@ -190,8 +190,8 @@
  * Announces to all nodes that an engine crashed while it ran a request. They
  * need it at once, as the caller may send the request again to any node.
  */
-void gateway_peers_tell_crash(struct gateway *gateway, uint64_t fingerprint,
-			      const char *endpoint_id)
+void gateway_peers_announce_crash(struct gateway *gateway, uint64_t fingerprint,
+				  const char *endpoint_id)
 {
 	struct peer_message *message =
 		gateway->host.message(gateway->host.data, PEER_QUARANTINE);
@@ -262,8 +262,8 @@
 {
 	return (struct store_view){
 		.reaches_store = gateway->store_is_reached,
-		.sentinel_reaches = sentinel_is_heard(gateway, true),
-		.sentinel_waits = sentinel_announces_loss(gateway),
+		.sentinel_reaches_store = sentinel_is_heard(gateway, true),
+		.sentinel_lost_store = sentinel_announces_loss(gateway),
 	};
 }
 
@@ -275,8 +275,8 @@
 {
 	struct store_view view = gateway_store_view(gateway);
 
-	return store_doubt_is_away(&gateway->store_doubt, &view,
-				   gateway->now_us);
+	return store_doubt_suspects_outage(&gateway->store_doubt, &view,
+					   gateway->now_us);
 }
 
 static void step_store_watch(struct gateway *gateway)
@@ -285,8 +285,8 @@
 		.is_sentinel =
 			member_is_sentinel(gateway, gateway->options.node_name),
 		.reaches_store = gateway->store_is_reached,
-		.sentinel_reaches = sentinel_is_heard(gateway, true),
-		.sentinel_waits = sentinel_is_heard(gateway, false),
+		.sentinel_reaches_store = sentinel_is_heard(gateway, true),
+		.sentinel_lost_store = sentinel_is_heard(gateway, false),
 		.knows_endpoints = registry_has_usable(gateway->registry),
 	};
 	struct store_watch watch = store_watch_decide(&input);
@@ -338,15 +338,15 @@
 void gateway_peers_step(struct gateway *gateway)
 {
 	size_t others = gateway_node_count(gateway) - 1;
-	bool changed = gateway->held_changed;
+	bool changed = gateway->announce_pending;
 
-	registry_forget_silent(
+	registry_expire_nodes(
 		gateway->registry,
 		gateway->now_us - MAX(periods_us(gateway, LOAD_EXPIRY_PERIODS),
 				      LOAD_EXPIRY_MIN_US));
 	step_store_watch(gateway);
-	gateway->held_changed = false;
-	if (standing_pace_is_due(&gateway->pace, others, changed,
+	gateway->announce_pending = false;
+	if (announce_pace_is_due(&gateway->pace, others, changed,
 				 gateway->now_us))
 		announce_to_all(gateway);
 }
@@ -375,7 +375,7 @@
 	while (g_hash_table_iter_next(&iter, &name, &value)) {
 		const struct gateway_peer *peer = value;
 
-		if (peer->takes_work && addresses->len < MAX_ADDRESSES &&
+		if (peer->accepts_requests && addresses->len < MAX_ADDRESSES &&
 		    membership_find(members, name) &&
 		    peer_is_recent(gateway, peer, SILENT_PERIODS))
 			g_ptr_array_add(addresses, peer->address);
@@ -400,8 +400,8 @@
 /* Sends the endpoints to a node that is heard for the first time. */
 static void sync_new_node(struct gateway *gateway, const char *peer_address)
 {
-	if (newcomer_is_told(gateway_node_count(gateway) - 1,
-			     g_rand_double(gateway->random)))
+	if (join_sync_is_sender(gateway_node_count(gateway) - 1,
+				g_rand_double(gateway->random)))
 		send_registrations(gateway, peer_address);
 }
 
@@ -422,7 +422,7 @@
 	peer->incarnation = message->incarnation;
 	peer->heard_us = gateway->now_us;
 	peer->table_version = message->standing.table_version;
-	peer->takes_work = message->standing.takes_work;
+	peer->accepts_requests = message->standing.accepts_requests;
 	log_peer_store(gateway, peer, message);
 	peer->reaches_store = message->standing.reaches_store;
 	g_free(peer->address);
@@ -441,8 +441,8 @@
 
 	for (guint i = 0; i < list->len; i++) {
 		const struct registration *said = g_ptr_array_index(list, i);
-		bool changed = registry_take(gateway->registry, said, false,
-					     gateway->now_us);
+		bool changed = registry_apply(gateway->registry, said, false,
+					      gateway->now_us);
 
 		if (changed)
 			log_write(gateway->log, LOG_LEVEL_INFO, "endpoint",
@@ -455,15 +455,15 @@
 }
 
 /* Handles a message of another node's gateway; ignores other types. */
-void gateway_take_peer(struct gateway *gateway,
-		       const struct peer_message *message)
+void gateway_receive_peer(struct gateway *gateway,
+			  const struct peer_message *message)
 {
 	gateway->now_us = gateway_now_us();
 	if (message->type == PEER_ROUTES) {
 		gateway_routes_receive(gateway, message);
 		return;
 	}
-	if (message->type == PEER_ROUTES_ASK) {
+	if (message->type == PEER_ROUTES_REQUEST) {
 		gateway_routes_send(gateway, message);
 		return;
 	}
@@ -471,8 +471,8 @@
 		quarantine_report_crash(
 			gateway->quarantine, message->quarantine.fingerprint,
 			message->quarantine.endpoint, gateway->now_us);
-		gateway_take_failure(gateway, message->incarnation,
-				     message->quarantine.endpoint);
+		gateway_add_failure_notice(gateway, message->incarnation,
+					   message->quarantine.endpoint);
 		return;
 	}
 	if (!*message->from)
@@ -488,11 +488,11 @@
 	if (message->type != PEER_STANDING)
 		return;
 	peer_apply_standing(gateway, message);
-	engine_grants_told(gateway->grants, message->from,
-			   message->standing.answered);
-	registry_take_held(gateway->registry, message->from,
-			   message->incarnation, message->standing.held,
-			   gateway->now_us);
+	engine_grants_confirm(gateway->grants, message->from,
+			      message->standing.answered);
+	registry_set_node_held(gateway->registry, message->from,
+			       message->incarnation, message->standing.held,
+			       gateway->now_us);
 	apply_registrations(gateway, message);
 	gateway_routes_note_version(gateway, message->standing.table_version);
 }
--- a/adapters/gateway/gateway_routes.c
+++ b/adapters/gateway/gateway_routes.c
@@ -45,7 +45,8 @@
 
 	if (!member)
 		return;
-	message = gateway->host.message(gateway->host.data, PEER_ROUTES_ASK);
+	message =
+		gateway->host.message(gateway->host.data, PEER_ROUTES_REQUEST);
 	message->config.revision = MAX(gateway_table_version(gateway), 0);
 	log_write(gateway->log, LOG_LEVEL_INFO, "routes_asked", "node",
 		  member->name, NULL);
@@ -86,9 +87,9 @@
 	struct peer_message *message;
 
 	if (gateway_table_version(gateway) <= ask->config.revision ||
-	    !table_offer_take(&gateway->offer,
-			      g_bytes_get_size(gateway->document),
-			      gateway->now_us))
+	    !table_copy_limit_take(&gateway->offer,
+				   g_bytes_get_size(gateway->document),
+				   gateway->now_us))
 		return;
 	message = gateway->host.message(gateway->host.data, PEER_ROUTES);
 	message->config.revision = gateway_table_version(gateway);
@@ -110,7 +111,7 @@
 				     message->config.revision);
 	if (!table)
 		return;
-	gateway_take_table(gateway, table, message->config.document,
-			   message->from);
+	gateway_apply_table(gateway, table, message->config.document,
+			    message->from);
 	route_table_unref(table);
 }
--- a/adapters/gateway/gateway_state.h
+++ b/adapters/gateway/gateway_state.h
@@ -41,7 +41,7 @@
 	GBytes *document;
 	int64_t newest_version; /* announced by any node; -1: none */
 	struct table_fetch fetch;
-	struct table_offer offer;
+	struct table_copy_limit offer;
 	struct registry *registry;
 	bool store_is_reached;
 	struct store_doubt store_doubt;
@@ -62,10 +62,10 @@
 	bool is_stopped;
 
 	GHashTable *peers; /* name to struct gateway_peer */
-	struct standing_pace pace;
+	struct announce_pace pace;
 	uint32_t standings;
-	bool held_changed; /* load or configuration; to be announced */
-	bool home_untold;  /* changes not yet sent to the home */
+	bool announce_pending;	    /* load or configuration; to be announced */
+	bool home_announce_pending; /* changes not yet sent to the home */
 
 	/* Engine choice by a home, which may be this node. */
 	struct engine_grants *grants;
@@ -81,7 +81,7 @@
 	uint64_t incarnation;
 	int64_t heard_us;
 	int64_t table_version;
-	bool takes_work;
+	bool accepts_requests;
 	bool reaches_store;
 	char *address; /* where callers connect */
 };
@@ -104,10 +104,10 @@
 bool gateway_store_is_away(const struct gateway *gateway);
 void gateway_peers_step(struct gateway *gateway);
 void gateway_peers_announce_drain(struct gateway *gateway);
-void gateway_peers_tell_crash(struct gateway *gateway, uint64_t fingerprint,
-			      const char *endpoint_id);
-void gateway_take_failure(struct gateway *gateway, uint64_t reporter,
-			  const char *endpoint_id);
+void gateway_peers_announce_crash(struct gateway *gateway, uint64_t fingerprint,
+				  const char *endpoint_id);
+void gateway_add_failure_notice(struct gateway *gateway, uint64_t reporter,
+				const char *endpoint_id);
 void gateway_peers_announce_endpoint(struct gateway *gateway,
 				     const char *endpoint_id);
 void gateway_peer_destroy(gpointer data);
@@ -139,9 +139,9 @@
 void exchange_begin(struct gateway *gateway, struct caller *caller,
 		    struct http_head *head, GByteArray *body);
 void exchange_step(struct exchange *exchange);
-void exchange_excuse(struct exchange *exchange, int64_t paused_us);
+void exchange_excuse_pause(struct exchange *exchange, int64_t paused_us);
 void exchange_caller_gone(struct exchange *exchange);
-void exchange_caller_drained(struct exchange *exchange);
+void exchange_resume_reading(struct exchange *exchange);
 void exchange_destroy(gpointer data);
 
 G_END_DECLS
--- a/adapters/gateway/gateway_store.c
+++ b/adapters/gateway/gateway_store.c
@@ -15,7 +15,7 @@
 		return "store_lost";
 	if (gateway_store_is_away(gateway))
 		return "sentinel";
-	if (store_doubt_stands(&gateway->store_doubt, gateway->now_us))
+	if (store_doubt_is_active(&gateway->store_doubt, gateway->now_us))
 		return "settling";
 	return "many_at_once";
 }
@@ -56,10 +56,10 @@
 	GPtrArray *changed = g_ptr_array_new_with_free_func(g_free);
 	struct store_view view = gateway_store_view(gateway);
 
-	store_doubt_take(&gateway->store_doubt, &view, gateway->now_us);
+	store_doubt_update(&gateway->store_doubt, &view, gateway->now_us);
 	registry_step(gateway->registry,
-		      store_doubt_over_before_us(&gateway->store_doubt,
-						 gateway->now_us),
+		      store_doubt_ended_before_us(&gateway->store_doubt,
+						  gateway->now_us),
 		      gateway->now_us, changed);
 	for (guint i = 0; i < changed->len; i++) {
 		const char *id = g_ptr_array_index(changed, i);
@@ -75,8 +75,8 @@
  * higher version is applied, so that a late answer or a lagging peer can't
  * restore an older one. Takes its own references.
  */
-void gateway_take_table(struct gateway *gateway, struct route_table *table,
-			GBytes *document, const char *source)
+void gateway_apply_table(struct gateway *gateway, struct route_table *table,
+			 GBytes *document, const char *source)
 {
 	char version[24], routes[24], bytes[24];
 
@@ -87,8 +87,8 @@
 	if (gateway->document)
 		g_bytes_unref(gateway->document);
 	gateway->document = g_bytes_ref(document);
-	caller_set_limits(gateway->callers, route_table_limits(table));
-	gateway->held_changed = true;
+	caller_set_apply_limits(gateway->callers, route_table_limits(table));
+	gateway->announce_pending = true;
 	counters_add(gateway->options.counters, COUNTER_GATEWAY_TABLES, 1);
 	g_snprintf(version, sizeof(version), "%" G_GINT64_FORMAT,
 		   route_table_version(table));
@@ -104,7 +104,7 @@
 static bool gateway_doubts_removals(const struct gateway *gateway)
 {
 	return gateway_store_is_away(gateway) ||
-	       store_doubt_stands(&gateway->store_doubt, gateway->now_us);
+	       store_doubt_is_active(&gateway->store_doubt, gateway->now_us);
 }
 
 /*
@@ -127,25 +127,25 @@
 }
 
 /* Records that the store answered a call, whatever the answer. */
-void gateway_take_store_answer(struct gateway *gateway)
+void gateway_store_answered(struct gateway *gateway)
 {
 	gateway->now_us = gateway_now_us();
-	store_doubt_answered(&gateway->store_doubt, gateway->now_us);
+	store_doubt_store_answered(&gateway->store_doubt, gateway->now_us);
 }
 
 /* Applies changes from the store: struct registration, oldest first. */
-void gateway_take_changes(struct gateway *gateway, const GPtrArray *list)
+void gateway_apply_changes(struct gateway *gateway, const GPtrArray *list)
 {
 	bool is_doubtful;
 
-	gateway_take_store_answer(gateway);
+	gateway_store_answered(gateway);
 	is_doubtful = gateway_doubts_removals(gateway) ||
 		      changes_look_expired(gateway, list);
 	for (guint i = 0; i < list->len; i++) {
 		const struct registration *news = g_ptr_array_index(list, i);
 
-		if (!registry_take(gateway->registry, news, is_doubtful,
-				   gateway->now_us))
+		if (!registry_apply(gateway->registry, news, is_doubtful,
+				    gateway->now_us))
 			continue;
 		gateway_log_endpoint(gateway, news->id, "store");
 		gateway_peers_announce_endpoint(gateway, news->id);
@@ -153,15 +153,15 @@
 }
 
 /* Applies a complete listing of the store as of a revision. */
-void gateway_take_registrations(struct gateway *gateway, const GPtrArray *list,
-				int64_t revision)
+void gateway_apply_listing(struct gateway *gateway, const GPtrArray *list,
+			   int64_t revision)
 {
 	GPtrArray *changed = g_ptr_array_new_with_free_func(g_free);
 
-	gateway_take_store_answer(gateway);
-	registry_take_all(gateway->registry, list, revision,
-			  gateway_doubts_removals(gateway), gateway->now_us,
-			  changed);
+	gateway_store_answered(gateway);
+	registry_apply_listing(gateway->registry, list, revision,
+			       gateway_doubts_removals(gateway),
+			       gateway->now_us, changed);
 	for (guint i = 0; i < changed->len; i++) {
 		const char *id = g_ptr_array_index(changed, i);
 
@@ -172,15 +172,16 @@
 }
 
 /* Records whether the store is reachable, and logs a change. */
-void gateway_take_store(struct gateway *gateway, bool is_reached)
+void gateway_set_store_reached(struct gateway *gateway, bool is_reached)
 {
 	if (gateway->store_is_reached == is_reached)
 		return;
 	gateway->store_is_reached = is_reached;
 	if (is_reached)
-		store_doubt_reached(&gateway->store_doubt, gateway_now_us());
+		store_doubt_store_reached(&gateway->store_doubt,
+					  gateway_now_us());
 	else
-		store_doubt_away(&gateway->store_doubt, gateway_now_us());
+		store_doubt_store_lost(&gateway->store_doubt, gateway_now_us());
 	log_write(gateway->log, LOG_LEVEL_INFO,
 		  is_reached ? "store_reached" : "store_lost", NULL);
 }
--- a/adapters/gateway/http_reader.c
+++ b/adapters/gateway/http_reader.c
@@ -214,7 +214,7 @@
 		return HTTP_READER_COMPLETE;
 	if (reader->rejected || HTTP_PARSER_ERRNO(&reader->parser) != HPE_OK)
 		return HTTP_READER_BAD;
-	return HTTP_READER_MORE;
+	return HTTP_READER_INCOMPLETE;
 }
 
 /*
--- a/adapters/gateway/http_reader.h
+++ b/adapters/gateway/http_reader.h
@@ -18,10 +18,10 @@
 enum http_reader_kind { HTTP_READER_REQUESTS, HTTP_READER_ANSWERS };
 
 enum http_reader_result {
-	HTTP_READER_MORE,     /* all bytes consumed, message incomplete */
-	HTTP_READER_COMPLETE, /* the message has ended */
-	HTTP_READER_BAD,      /* malformed or ambiguous */
-	HTTP_READER_TOO_LARGE /* head over the limit */
+	HTTP_READER_INCOMPLETE, /* all bytes consumed, message incomplete */
+	HTTP_READER_COMPLETE,	/* the message has ended */
+	HTTP_READER_BAD,	/* malformed or ambiguous */
+	HTTP_READER_TOO_LARGE	/* head over the limit */
 };
 
 struct http_reader_events {
--- a/adapters/gateway/leg.c
+++ b/adapters/gateway/leg.c
@@ -46,8 +46,8 @@
 		backup->own.copies += sign;
 		backup->own.tokens += sign * leg->tokens;
 	}
-	leg->exchange->gateway->held_changed = true;
-	leg->exchange->gateway->home_untold = true;
+	leg->exchange->gateway->announce_pending = true;
+	leg->exchange->gateway->home_announce_pending = true;
 }
 
 /* Records that the endpoint has processed the prompt. */
@@ -67,14 +67,14 @@
 void leg_set_tokens(struct leg *leg, int64_t tokens)
 {
 	struct gateway *gateway = leg->exchange->gateway;
-	bool was_changed = gateway->held_changed;
-	bool was_untold = gateway->home_untold;
+	bool was_changed = gateway->announce_pending;
+	bool was_untold = gateway->home_announce_pending;
 
 	leg_count(leg, -1);
 	leg->tokens = tokens;
 	leg_count(leg, 1);
-	gateway->held_changed = was_changed;
-	gateway->home_untold = was_untold;
+	gateway->announce_pending = was_changed;
+	gateway->home_announce_pending = was_untold;
 }
 
 /*
@@ -109,7 +109,7 @@
 {
 	const struct exchange *exchange = leg->exchange;
 	struct endpoint *backup = registry_find(exchange->gateway->registry,
-						exchange->chosen_backup);
+						exchange->home_backup_id);
 
 	return backup && endpoint_is_usable(backup) ? backup : NULL;
 }
@@ -117,12 +117,12 @@
 static struct endpoint *leg_pick_backup(const struct leg *leg)
 {
 	struct exchange *exchange = leg->exchange;
-	struct endpoint_wish wish;
+	struct endpoint_criteria wish;
 
-	if (exchange->chosen_backup)
+	if (exchange->home_backup_id)
 		return leg_find_home_backup(leg);
-	exchange_wish(exchange, &wish);
-	wish.avoid_also = leg->endpoint_id;
+	exchange_fill_criteria(exchange, &wish);
+	wish.avoid_id = leg->endpoint_id;
 	return endpoint_choose_backup(exchange->gateway->registry, &wish);
 }
 
@@ -135,7 +135,7 @@
 	if (!exchange_wants_backup(exchange))
 		return;
 	backup = leg_pick_backup(leg);
-	g_clear_pointer(&exchange->chosen_backup, g_free);
+	g_clear_pointer(&exchange->home_backup_id, g_free);
 	if (!backup)
 		return;
 	leg->backup_id = g_strdup(backup->said->id);
--- a/adapters/gateway/report_poll.c
+++ b/adapters/gateway/report_poll.c
@@ -60,8 +60,9 @@
 	struct poll_request *poll_request = data;
 	GBytes *body =
 		g_bytes_new(poll_request->body->data, poll_request->body->len);
-	bool is_leaving = poll_request->status == STATUS_OK &&
-			  poll_request->poll->dialect->read_report_leaves(body);
+	bool is_leaving =
+		poll_request->status == STATUS_OK &&
+		poll_request->poll->dialect->read_report_is_leaving(body);
 
 	g_bytes_unref(body);
 	poll_request->is_done = true;
@@ -126,7 +127,7 @@
 	poll_request->endpoint_id = g_strdup(endpoint->said->id);
 	poll_request->body = g_byte_array_new();
 	poll_request->sent_us = now_us;
-	poll->dialect->write_report(options.address, options.request);
+	poll->dialect->write_report_request(options.address, options.request);
 	poll_request->attempt = attempt_start(&options, &poll_request_events,
 					      poll_request, &error);
 	poll_request->is_done = !poll_request->attempt;
--- a/adapters/gateway/store_calls.c
+++ b/adapters/gateway/store_calls.c
@@ -103,7 +103,7 @@
 	bool is_read;
 
 	if (op_is_read(call->request.op))
-		attempt_keep_connection(call->attempt, calls->pool, INT64_MAX);
+		attempt_pool_connection(call->attempt, calls->pool, INT64_MAX);
 	is_read = calls->options.dialect->read_call(
 		&call->request, call->status, body, &answer, &error);
 	g_bytes_unref(body);
@@ -125,8 +125,8 @@
 	struct store_call *call = data;
 
 	call_fail(call,
-		  attempt_has_sent(call->attempt) ? KV_ANSWER_LOST
-						  : KV_NOT_APPLIED,
+		  attempt_may_have_sent(call->attempt) ? KV_ANSWER_LOST
+						       : KV_NOT_APPLIED,
 		  error);
 }
 
--- a/adapters/gateway/store_follower.c
+++ b/adapters/gateway/store_follower.c
@@ -352,7 +352,7 @@
 		follower_fail(follower, "refused");
 		return;
 	}
-	attempt_keep_connection(follower->attempt, follower->pool, INT64_MAX);
+	attempt_pool_connection(follower->attempt, follower->pool, INT64_MAX);
 	body = g_bytes_new(follower->body->data, follower->body->len);
 	is_read = follower_read(follower, body, &error);
 	g_bytes_unref(body);
@@ -459,7 +459,7 @@
 {
 	if (!follower)
 		return;
-	store_follower_watch_closely(follower, false);
+	store_follower_set_probing(follower, false);
 	follower_stop_call(follower);
 	endpoint_pool_destroy(follower->pool);
 	store_page_clear(&follower->list);
@@ -498,8 +498,8 @@
  * false, once the other node has reached the store, retries after the first
  * backoff.
  */
-void store_follower_set_patient(struct store_follower *follower,
-				bool slow_retry)
+void store_follower_set_slow_retry(struct store_follower *follower,
+				   bool slow_retry)
 {
 	if (follower->slow_retry == slow_retry)
 		return;
@@ -512,7 +512,7 @@
 }
 
 /* Sets whether to probe each second if the store is still reachable. */
-void store_follower_watch_closely(struct store_follower *follower, bool probing)
+void store_follower_set_probing(struct store_follower *follower, bool probing)
 {
 	if (probing && !follower->probe_timer)
 		follower->probe_timer =
@@ -529,7 +529,7 @@
  * store again on another connection, since the present one may be dead. An
  * answer that is arriving is read to its end instead.
  */
-void store_follower_poke(struct store_follower *follower)
+void store_follower_refresh(struct store_follower *follower)
 {
 	int64_t now_us = g_get_monotonic_time();
 
--- a/adapters/gateway/store_follower.h
+++ b/adapters/gateway/store_follower.h
@@ -56,11 +56,10 @@
 		      const struct store_follower_events *events);
 void store_follower_destroy(struct store_follower *follower);
 void store_follower_set_active(struct store_follower *follower, bool active);
-void store_follower_set_patient(struct store_follower *follower,
-				bool slow_retry);
-void store_follower_watch_closely(struct store_follower *follower,
-				  bool probing);
-void store_follower_poke(struct store_follower *follower);
+void store_follower_set_slow_retry(struct store_follower *follower,
+				   bool slow_retry);
+void store_follower_set_probing(struct store_follower *follower, bool probing);
+void store_follower_refresh(struct store_follower *follower);
 bool store_follower_is_receiving(const struct store_follower *follower);
 int32_t store_follower_failures(const struct store_follower *follower);
 bool store_follower_is_reached(const struct store_follower *follower);
--- a/adapters/gateway/tcp_stream.c
+++ b/adapters/gateway/tcp_stream.c
@@ -403,7 +403,7 @@
 }
 
 /* Number of bytes written to the stream but not yet sent. */
-size_t tcp_stream_waiting_bytes(const struct tcp_stream *stream)
+size_t tcp_stream_unsent_bytes(const struct tcp_stream *stream)
 {
 	return stream->unsent->len - stream->unsent_offset;
 }
--- a/adapters/http_answer.c
+++ b/adapters/http_answer.c
@@ -55,7 +55,7 @@
 					      const char *detail)
 {
 	struct http_problem problem = {
-		.status = refusal_status(refusal),
+		.status = refusal_http_status(refusal),
 		.code = refusal_code(refusal),
 		.message = refusal_text(refusal),
 		.detail = detail,
@@ -87,18 +87,18 @@
 
 	json_builder_begin_object(builder);
 	json_writer_begin_object(builder, "error");
-	json_writer_text(builder, "code", problem->code);
-	json_writer_text(builder, "message", message);
-	json_writer_text(builder, "run", run_name(problem->run));
+	json_writer_add_string(builder, "code", problem->code);
+	json_writer_add_string(builder, "message", message);
+	json_writer_add_string(builder, "run", run_name(problem->run));
 	if (problem->retry_after_us > 0) {
-		json_writer_number(builder, "retry_after_ms",
-				   (problem->retry_after_us + US_PER_MS - 1) /
-					   US_PER_MS);
+		json_writer_add_int(builder, "retry_after_ms",
+				    (problem->retry_after_us + US_PER_MS - 1) /
+					    US_PER_MS);
 	}
 	json_builder_end_object(builder);
 	json_builder_end_object(builder);
 	g_free(message);
-	return json_writer_take_text(builder);
+	return json_writer_finish_text(builder);
 }
 
 /* Rounds up, because a caller that retries too early is refused again. */
--- a/adapters/http_collect.c
+++ b/adapters/http_collect.c
@@ -120,17 +120,17 @@
 			       const char *text, const char *finish_reason)
 {
 	json_builder_begin_object(builder);
-	json_writer_number(builder, "index", index);
+	json_writer_add_int(builder, "index", index);
 	if (chat) {
 		json_writer_begin_object(builder, "message");
-		json_writer_text(builder, "role", "assistant");
-		json_writer_text(builder, "content", text);
+		json_writer_add_string(builder, "role", "assistant");
+		json_writer_add_string(builder, "content", text);
 		json_builder_end_object(builder);
 	} else {
-		json_writer_text(builder, "text", text);
+		json_writer_add_string(builder, "text", text);
 	}
-	json_writer_text(builder, "finish_reason",
-			 finish_reason ? finish_reason : "stop");
+	json_writer_add_string(builder, "finish_reason",
+			       finish_reason ? finish_reason : "stop");
 	json_builder_end_object(builder);
 }
 
@@ -142,9 +142,10 @@
 	char *id = g_strdup_printf("%" G_GUINT64_FORMAT, call);
 
 	json_builder_begin_object(builder);
-	json_writer_text(builder, "id", id);
-	json_writer_text(builder, "object",
-			 collect->chat ? "chat.completion" : "text_completion");
+	json_writer_add_string(builder, "id", id);
+	json_writer_add_string(builder, "object",
+			       collect->chat ? "chat.completion"
+					     : "text_completion");
 	json_writer_begin_array(builder, "choices");
 	for (guint i = 0; i < MAX(collect->choice_count, 1); i++)
 		builder_add_choice(builder, collect->chat, i,
@@ -154,9 +155,9 @@
 				   finish_reason);
 	json_builder_end_array(builder);
 	json_writer_begin_object(builder, "usage");
-	json_writer_number(builder, "completion_tokens", token_count);
+	json_writer_add_int(builder, "completion_tokens", token_count);
 	json_builder_end_object(builder);
 	json_builder_end_object(builder);
 	g_free(id);
-	return json_writer_take(builder);
+	return json_writer_finish(builder);
 }
--- a/adapters/http_exchange.c
+++ b/adapters/http_exchange.c
@@ -327,7 +327,7 @@
 }
 
 /* Returns false if no byte of the request can have reached the peer. */
-bool http_exchange_may_have_left(const struct http_exchange *exchange)
+bool http_exchange_may_be_sent(const struct http_exchange *exchange)
 {
 	return exchange->may_be_sent;
 }
@@ -356,19 +356,19 @@
  * thousand streams would spend its time on this and would open no connection
  * for seconds.
  */
-struct http_sessions {
+struct http_session_pool {
 	SoupSession *sessions[SESSION_COUNT];
 	uint32_t next;
 };
 
 /* Creates a pool. Each session is created at its first use. */
-struct http_sessions *http_sessions_create(void)
+struct http_session_pool *http_session_pool_create(void)
 {
-	return g_new0(struct http_sessions, 1);
+	return g_new0(struct http_session_pool, 1);
 }
 
 /* Unrefs the sessions; exchanges keep their own reference. NULL is allowed. */
-void http_sessions_destroy(struct http_sessions *sessions)
+void http_session_pool_destroy(struct http_session_pool *sessions)
 {
 	if (!sessions)
 		return;
@@ -378,7 +378,7 @@
 }
 
 /* Returns the sessions in turn. The pool owns the session. */
-SoupSession *http_sessions_next(struct http_sessions *sessions)
+SoupSession *http_session_pool_next(struct http_session_pool *sessions)
 {
 	SoupSession **session = &sessions->sessions[sessions->next];
 
--- a/adapters/http_exchange.h
+++ b/adapters/http_exchange.h
@@ -37,16 +37,16 @@
 http_exchange_start(const struct http_exchange_options *options);
 void http_exchange_cancel(struct http_exchange *exchange);
 void http_exchange_pause(struct http_exchange *exchange, bool pause);
-bool http_exchange_may_have_left(const struct http_exchange *exchange);
+bool http_exchange_may_be_sent(const struct http_exchange *exchange);
 
 SoupSession *http_exchange_session_create(void);
 
 /* A pool of sessions, over which the exchanges are spread. */
-struct http_sessions;
+struct http_session_pool;
 
-struct http_sessions *http_sessions_create(void);
-void http_sessions_destroy(struct http_sessions *sessions);
-SoupSession *http_sessions_next(struct http_sessions *sessions);
+struct http_session_pool *http_session_pool_create(void);
+void http_session_pool_destroy(struct http_session_pool *sessions);
+SoupSession *http_session_pool_next(struct http_session_pool *sessions);
 
 G_END_DECLS
 
--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -224,7 +224,7 @@
 }
 
 /* Returns the number of exchanges whose answer is not completely written. */
-size_t http_server_open_exchanges(const struct http_server *server)
+size_t http_server_count_exchanges(const struct http_server *server)
 {
 	return server->open_exchanges;
 }
--- a/adapters/http_server.h
+++ b/adapters/http_server.h
@@ -35,7 +35,7 @@
 		   const struct event_sink *sink, struct error *error);
 void http_server_destroy(struct http_server *server);
 const char *http_server_address(const struct http_server *server);
-size_t http_server_open_exchanges(const struct http_server *server);
+size_t http_server_count_exchanges(const struct http_server *server);
 void http_server_apply(struct http_server *server, const struct action *action);
 
 G_END_DECLS
--- a/adapters/kv_watch.c
+++ b/adapters/kv_watch.c
@@ -290,7 +290,7 @@
 {
 	struct kv_stream *stream = g_new0(struct kv_stream, 1);
 	char *url = g_strdup_printf("http://%s/v3/watch", watch->address);
-	GBytes *body = etcd_watch_format(watch->key, start_revision);
+	GBytes *body = etcd_watch_format_request(watch->key, start_revision);
 	struct bounded_request_spec spec = {.method = "POST",
 					    .url = url,
 					    .body = body,
--- a/adapters/order_client.c
+++ b/adapters/order_client.c
@@ -42,16 +42,16 @@
 }
 
 /*
- * Returns ORDER_LOST unless the status shows whether the engine has accepted
- * the order; the core then reads the state of the engine. Only a status that
- * explicitly rejects the order is ORDER_REFUSED.
+ * Returns ORDER_UNCONFIRMED unless the status shows whether the engine has
+ * accepted the order; the core then reads the state of the engine. Only a
+ * status that explicitly rejects the order is ORDER_REFUSED.
  */
 static enum order_outcome
 order_outcome_of_status(const struct bounded_result *result)
 {
 	switch (result->status) {
 	case SOUP_STATUS_OK:
-		return ORDER_TAKEN;
+		return ORDER_ACCEPTED;
 	case SOUP_STATUS_CONFLICT:
 		return ORDER_STALE;
 	case SOUP_STATUS_BAD_REQUEST:
@@ -59,7 +59,7 @@
 	case SOUP_STATUS_UNPROCESSABLE_ENTITY:
 		return ORDER_REFUSED;
 	default:
-		return ORDER_LOST;
+		return ORDER_UNCONFIRMED;
 	}
 }
 
@@ -160,8 +160,8 @@
 
 	switch (action->type) {
 	case ACTION_ORDER:
-		body = order_json_format(action->order.fence,
-					 action->order.target);
+		body = order_json_format_request(action->order.fence,
+						 action->order.target);
 		order_client_send(client, action->order.endpoint, body,
 				  action->order.timeout_us, on_order_answered);
 		g_bytes_unref(body);
--- a/adapters/setting.c
+++ b/adapters/setting.c
@@ -66,7 +66,7 @@
 	 FIELD(gateway.drain_us), 1, 3600, NULL,
 	 "from SIGTERM to the end of the process"},
 	{"gateway", "address_keep_s", SETTING_S, REQUIRED_NEVER,
-	 FIELD(gateway.address_keep_us), 1, 60, NULL,
+	 FIELD(gateway.directory_ttl_us), 1, 60, NULL,
 	 "callers keep an answer of the directory"},
 	{"gateway", "retry_ratio", SETTING_RATIO, REQUIRED_NEVER,
 	 FIELD(gateway.retry_percent), 0, 1, NULL,
--- a/adapters/settings.c
+++ b/adapters/settings.c
@@ -330,7 +330,7 @@
 	settings->max_peer_record_bytes = 2 << 20;
 	settings->connect_timeout_ms = 1000;
 	settings->gateway.drain_us = 8 * G_USEC_PER_SEC;
-	settings->gateway.address_keep_us = 2 * G_USEC_PER_SEC;
+	settings->gateway.directory_ttl_us = 2 * G_USEC_PER_SEC;
 	settings->gateway.retry_percent = 20;
 	settings->gateway.retry_extra = 50;
 	settings->gateway.home_from_nodes = DEFAULT_HOME_FROM_NODES;
--- a/adapters/settings.h
+++ b/adapters/settings.h
@@ -21,7 +21,7 @@
 	char *directory_address; /* "" for none */
 	char *store_address;	 /* the platform's metadata store */
 	int64_t drain_us;	 /* from SIGTERM to SIGKILL */
-	int64_t address_keep_us;
+	int64_t directory_ttl_us;
 	int64_t retry_percent;
 	int64_t retry_extra;
 	int64_t home_from_nodes;
--- a/bench/capacity_bench.c
+++ b/bench/capacity_bench.c
@@ -67,7 +67,7 @@
 	region_run(region, measure_s * SECOND_US);
 	region_stop_measure(region, &cost);
 	allocated = region_allocated_bytes() - allocated_before;
-	spread_us = region_spread_config(region);
+	spread_us = region_propagate_config(region);
 	printf("%-28s %6.2f%% %6.2f%% %8.0f %7.1f %6.2f %6.1f %7.1f %7.0f "
 	       "%7.1f %8.1f %7.0f\n",
 	       region_size->name, 100 * cost.control_cpu, 100 * cost.data_cpu,
--- a/bench/direct.c
+++ b/bench/direct.c
@@ -80,9 +80,10 @@
 			continue;
 		}
 		if (call->node == direct->progress_node)
-			placement_progress(direct_call_placement(direct, call),
-					   direct_call_ticket(direct, call),
-					   call->flow.tokens, direct->now_us);
+			placement_report_progress(
+				direct_call_placement(direct, call),
+				direct_call_ticket(direct, call),
+				call->flow.tokens, direct->now_us);
 		i++;
 	}
 	direct->measure.decision_us += direct_clock_us() - start_us;
@@ -110,8 +111,8 @@
 		}
 		direct->plain_running[call->plain]--;
 		call->flow.last_us = direct->now_us;
-		direct_release(direct, call, RELEASE_WHOLE);
-		direct_end(direct, call, FLOW_WHOLE);
+		direct_release(direct, call, RELEASE_COMPLETE);
+		direct_end(direct, call, FLOW_COMPLETE);
 	}
 }
 
@@ -126,7 +127,7 @@
 		if (item->at_us > direct->now_us)
 			return;
 		call = &direct->calls[direct->next_item++];
-		retry_budget_count_first(direct->budget);
+		retry_budget_count_request(direct->budget);
 		direct_submit(direct, call);
 	}
 }
@@ -186,7 +187,7 @@
 	memset(direct, 0, sizeof(*direct));
 	direct->scenario = scenario;
 	direct->policy = policy;
-	scenario_workload(scenario, seed, &workload);
+	scenario_fill_workload(scenario, seed, &workload);
 	direct->items = workload_generate(&workload);
 	direct->calls = g_new0(struct direct_call, direct->items->len);
 	direct->rand = g_rand_new_with_seed((guint32)seed);
@@ -208,7 +209,7 @@
 		scenario->fault == FAULT_NONE ? INT64_MAX : SCENARIO_MID_US;
 	direct_add_engines(direct, seed);
 	direct_add_placements(direct, seed);
-	measure_init(&direct->measure, SCENARIO_WARM_US, SCENARIO_END_US);
+	measure_init(&direct->measure, SCENARIO_WARMUP_US, SCENARIO_END_US);
 }
 
 static void direct_clear(struct direct *direct)
@@ -260,7 +261,8 @@
 		direct_step(direct);
 	for (guint i = 0; i < direct->items->len; i++)
 		if (direct->calls[i].flow.end == FLOW_OPEN)
-			measure_flow(&direct->measure, &direct->calls[i].flow);
+			measure_add_request(&direct->measure,
+					    &direct->calls[i].flow);
 	direct_count_engines(direct);
 	measure_figures(&direct->measure,
 			scenario->fault == FAULT_NONE ? 0 : SCENARIO_MID_US,
--- a/bench/direct_call.c
+++ b/bench/direct_call.c
@@ -47,8 +47,8 @@
 {
 	const struct workload_item *item = call->flow.item;
 	struct placement_request request = {
-		.organisation = workload_organisation(item->organisation),
-		.weight = workload_weight(item->organisation),
+		.organisation = workload_organisation_name(item->organisation),
+		.weight = workload_organisation_weight(item->organisation),
 		.priority = item->priority,
 		.prompt_tokens = item->prompt_tokens,
 		.deadline_us = item->at_us + item->deadline_us,
@@ -71,7 +71,7 @@
 		enum flow_end end)
 {
 	call->flow.end = end;
-	measure_flow(&direct->measure, &call->flow);
+	measure_add_request(&direct->measure, &call->flow);
 }
 
 static void direct_add_waiting(struct direct *direct, struct direct_call *call)
@@ -142,7 +142,7 @@
 		return;
 	}
 	call->avoid_hash = home_hash(direct->engine_names[engine], "", 0);
-	direct_release(direct, call, RELEASE_LOST);
+	direct_release(direct, call, RELEASE_UNREACHABLE);
 	direct_retry(direct, call);
 }
 
--- a/bench/direct_engine.c
+++ b/bench/direct_engine.c
@@ -16,12 +16,12 @@
 
 	switch (output->type) {
 	case ENGINE_TOKENS:
-		measure_tokens(&direct->measure, &call->flow,
-			       output->token_count, output->at_us);
+		measure_add_tokens(&direct->measure, &call->flow,
+				   output->token_count, output->at_us);
 		break;
 	case ENGINE_DONE:
-		direct_release(direct, call, RELEASE_WHOLE);
-		direct_end(direct, call, FLOW_WHOLE);
+		direct_release(direct, call, RELEASE_COMPLETE);
+		direct_end(direct, call, FLOW_COMPLETE);
 		break;
 	case ENGINE_PREEMPTED:
 		break;
@@ -44,8 +44,8 @@
 	for (int32_t i = 0; i < ENGINES; i++)
 		if (engine_model_next_due_us(direct->engines[i]) <=
 		    direct->now_us)
-			engine_model_step(direct->engines[i], direct->now_us,
-					  direct->outputs);
+			engine_model_advance(direct->engines[i], direct->now_us,
+					     direct->outputs);
 	for (guint i = 0; i < direct->outputs->len; i++)
 		direct_handle_output(direct,
 				     &g_array_index(direct->outputs,
@@ -55,7 +55,7 @@
 static void direct_distort_load(const struct direct *direct, int32_t engine,
 				struct load_report *report)
 {
-	if (direct->scenario->fault != FAULT_LYING_LOAD ||
+	if (direct->scenario->fault != FAULT_WRONG_LOAD ||
 	    engine >= IMPLAUSIBLE_ENGINES)
 		return;
 	switch (engine) {
@@ -105,21 +105,21 @@
 void direct_forward_cache_events(struct direct *direct, int32_t engine)
 {
 	GArray *events =
-		g_array_new(FALSE, FALSE, sizeof(struct engine_cache_event));
+		g_array_new(FALSE, FALSE, sizeof(struct prefix_cache_event));
 	int64_t newest = direct->cache_pending[engine];
 
 	engine_model_cache_events(direct->engines[engine],
 				  direct->cache_forwarded[engine], events);
 	for (guint i = 0; i < events->len; i++) {
-		const struct engine_cache_event *event =
-			&g_array_index(events, struct engine_cache_event, i);
+		const struct prefix_cache_event *event =
+			&g_array_index(events, struct prefix_cache_event, i);
 
 		newest = event->number;
 		if (event->number > direct->cache_pending[engine] ||
 		    event->number % CACHE_LOST_EVERY == 0)
 			continue;
 		for (int32_t n = 0; n < direct->placement_count; n++)
-			placement_prefix_cached(direct->placements[n],
+			placement_report_prefix(direct->placements[n],
 						direct->engine_names[engine],
 						event->prefix_hash,
 						event->stored);
@@ -195,7 +195,7 @@
 		break;
 	case FAULT_NONE:
 	case FAULT_LATE_LOAD:
-	case FAULT_LYING_LOAD:
+	case FAULT_WRONG_LOAD:
 	case FAULT_NODE_LOST:
 	case FAULT_HOME_LOST:
 	case FAULT_HOME_PAUSED:
--- a/bench/fleet_change.c
+++ b/bench/fleet_change.c
@@ -49,7 +49,7 @@
 
 static void begin_copy(struct fleet *fleet, struct fleet_generation *generation)
 {
-	struct endpoint_wish criteria;
+	struct endpoint_criteria criteria;
 	struct fleet_copy *copy = &generation->copy;
 
 	generation->copy_since_us = fleet->now_us;
@@ -57,7 +57,7 @@
 	criteria.failure_domain = generation->server->domain;
 	criteria.far_weight = 0.3;
 	copy->holder = fleet_server_of(
-		fleet, endpoint_choose_rescue(fleet->registry, &criteria));
+		fleet, endpoint_choose_for_move(fleet->registry, &criteria));
 	if (!copy->holder)
 		return;
 	fleet->result->moves++;
@@ -66,7 +66,7 @@
 	fleet_add_load(fleet, copy->holder, 0, copy->tokens, 0);
 	if (fleet_copy_begin(fleet, copy, generation->server,
 			     generation->run)) {
-		generation->copy_state = COPY_UNDER_WAY;
+		generation->copy_state = COPY_IN_PROGRESS;
 		return;
 	}
 	fleet->result->refused_copies++;
@@ -110,10 +110,10 @@
 	input.asked_is_connected = true;
 	input.asked_us = fleet->now_us - generation->asked_us;
 	if (input.has_backup)
-		input.backup_reads_prompts = endpoint_reads_prompts(
+		input.backup_reads_prompts = endpoint_has_unread_prompts(
 			fleet_endpoint(fleet, generation->backup.holder));
 	if (input.target_serves)
-		input.target_reads_prompts = endpoint_reads_prompts(
+		input.target_reads_prompts = endpoint_has_unread_prompts(
 			fleet_endpoint(fleet, generation->copy.holder));
 	return input;
 }
@@ -164,7 +164,7 @@
 		if (!request_takeover(fleet, generation, &generation->backup))
 			generation->backup_failed = true;
 		break;
-	case EVACUATION_LET_OLD_GO:
+	case EVACUATION_RELEASE_OLD:
 		fleet_release_old(fleet, generation);
 		break;
 	}
@@ -186,9 +186,9 @@
 	    !fleet_copy_begin(fleet, backup, generation->server,
 			      generation->run))
 		fleet_copy_drop(fleet, backup);
-	if (generation->copy_state == COPY_UNDER_WAY &&
+	if (generation->copy_state == COPY_IN_PROGRESS &&
 	    generation->copy.complete_us <= fleet->now_us)
-		generation->copy_state = COPY_WHOLE;
+		generation->copy_state = COPY_COMPLETE;
 }
 
 static bool request_source_takeover(struct fleet *fleet,
--- a/bench/fleet_generation.c
+++ b/bench/fleet_generation.c
@@ -46,14 +46,13 @@
 /* Fills in the gateway's criteria for choosing an engine. */
 void fleet_fill_criteria(struct fleet *fleet,
 			 const struct fleet_generation *generation,
-			 struct endpoint_wish *criteria)
+			 struct endpoint_criteria *criteria)
 {
-	*criteria = (struct endpoint_wish){
+	*criteria = (struct endpoint_criteria){
 		.service = SERVICE,
 		.engine = &fleet->ability,
 		.failure_domain = "a",
-		.avoid_also =
-			generation->server ? generation->server->id : NULL,
+		.avoid_id = generation->server ? generation->server->id : NULL,
 		.tokens = fleet_load_tokens(generation),
 		.now_us = fleet->now_us,
 		.draw = g_rand_double(fleet->choices),
@@ -73,7 +72,7 @@
 void fleet_choose_backup(struct fleet *fleet,
 			 struct fleet_generation *generation)
 {
-	struct endpoint_wish criteria;
+	struct endpoint_criteria criteria;
 
 	if (!policy_backs_up(fleet) || generation->output_tokens < 64)
 		return;
@@ -199,7 +198,7 @@
 /* Sends a generation to an engine, or refuses and frees it. */
 void fleet_place(struct fleet *fleet, struct fleet_generation *generation)
 {
-	struct endpoint_wish criteria;
+	struct endpoint_criteria criteria;
 	struct fleet_engine_run run = {
 		.generation = generation,
 		.prompt_tokens = generation->prompt_tokens,
--- a/bench/fleet_server.c
+++ b/bench/fleet_server.c
@@ -63,7 +63,7 @@
 		.is_removed = !server->engine,
 	};
 
-	registry_take(fleet->registry, &said, false, fleet->now_us);
+	registry_apply(fleet->registry, &said, false, fleet->now_us);
 }
 
 /* Starts an engine of random speed and registers it. */
--- a/bench/fleet_state.h
+++ b/bench/fleet_state.h
@@ -91,7 +91,7 @@
 	GPtrArray *servers;	   /* struct fleet_server */
 	GPtrArray *generations;	   /* struct fleet_generation */
 	struct registry *registry; /* of the simulated gateway */
-	struct engine_ability ability;
+	struct engine_capabilities ability;
 	int64_t now_us;
 	int64_t revision;
 	int64_t next_notice_us;
@@ -127,7 +127,7 @@
 int64_t fleet_load_tokens(const struct fleet_generation *generation);
 void fleet_fill_criteria(struct fleet *fleet,
 			 const struct fleet_generation *generation,
-			 struct endpoint_wish *criteria);
+			 struct endpoint_criteria *criteria);
 void fleet_choose_backup(struct fleet *fleet,
 			 struct fleet_generation *generation);
 void fleet_place(struct fleet *fleet, struct fleet_generation *generation);
--- a/bench/measure.c
+++ b/bench/measure.c
@@ -77,8 +77,8 @@
 }
 
 /* Counts tokens of a stream and the gap before them; at_us: when generated. */
-void measure_tokens(struct measure *measure, struct flow *flow, int64_t count,
-		    int64_t at_us)
+void measure_add_tokens(struct measure *measure, struct flow *flow,
+			int64_t count, int64_t at_us)
 {
 	int64_t gap_us = at_us - flow->last_us;
 
@@ -95,7 +95,7 @@
 
 static bool flow_in_time(const struct flow *flow)
 {
-	return flow->end == FLOW_WHOLE &&
+	return flow->end == FLOW_COMPLETE &&
 	       flow->last_us <= flow->item->at_us + flow->item->deadline_us;
 }
 
@@ -131,7 +131,7 @@
  * all_requests counts every request, the other counters only those that arrive
  * in the window.
  */
-void measure_flow(struct measure *measure, const struct flow *flow)
+void measure_add_request(struct measure *measure, const struct flow *flow)
 {
 	enum workload_kind kind = flow->item->kind;
 	bool in_time = flow_in_time(flow);
@@ -142,7 +142,7 @@
 	measure->requests[kind]++;
 	measure->in_time[kind] += in_time;
 	measure->attempts += flow->attempts;
-	measure->completed += flow->end == FLOW_WHOLE;
+	measure->completed += flow->end == FLOW_COMPLETE;
 	measure->broken += flow->end == FLOW_BROKEN;
 	if (flow->end == FLOW_REFUSED)
 		measure->refused[flow->refusal]++;
--- a/bench/measure.h
+++ b/bench/measure.h
@@ -12,7 +12,7 @@
 G_BEGIN_DECLS
 
 /* The outcome of one request, updated from its arrival to its end. */
-enum flow_end { FLOW_OPEN, FLOW_WHOLE, FLOW_REFUSED, FLOW_BROKEN };
+enum flow_end { FLOW_OPEN, FLOW_COMPLETE, FLOW_REFUSED, FLOW_BROKEN };
 
 struct flow {
 	const struct workload_item *item;
@@ -98,9 +98,9 @@
 
 void measure_init(struct measure *measure, int64_t from_us, int64_t until_us);
 void measure_clear(struct measure *measure);
-void measure_tokens(struct measure *measure, struct flow *flow, int64_t count,
-		    int64_t at_us);
-void measure_flow(struct measure *measure, const struct flow *flow);
+void measure_add_tokens(struct measure *measure, struct flow *flow,
+			int64_t count, int64_t at_us);
+void measure_add_request(struct measure *measure, const struct flow *flow);
 void measure_figures(const struct measure *measure, int64_t fault_us,
 		     double figures[FIGURES]);
 const char *figure_name(enum figure figure);
--- a/bench/member_network.c
+++ b/bench/member_network.c
@@ -300,8 +300,8 @@
 }
 
 /* Blocks or unblocks the link in one direction. */
-void member_network_cut(struct member_network *network, uint32_t from,
-			uint32_t to, bool blocked)
+void member_network_block(struct member_network *network, uint32_t from,
+			  uint32_t to, bool blocked)
 {
 	network->blocked[from * network->options.nodes + to] = blocked;
 }
@@ -388,8 +388,8 @@
 }
 
 /* Returns a node's membership, which the network owns; NULL if stopped. */
-struct membership *member_network_get(struct member_network *network,
-				      uint32_t i)
+struct membership *member_network_membership(struct member_network *network,
+					     uint32_t i)
 {
 	return network->nodes[i].membership;
 }
@@ -421,7 +421,7 @@
  * Whether node i lists the other node with its current incarnation in this
  * state. A node that is not listed counts as dead.
  */
-bool member_network_knows(const struct member_network *network, uint32_t i,
+bool member_network_lists(const struct member_network *network, uint32_t i,
 			  uint32_t other, enum member_state state)
 {
 	const struct membership *membership = network->nodes[i].membership;
@@ -442,7 +442,7 @@
 	     other += network->options.regions) {
 		bool runs = network->nodes[other].membership != NULL;
 
-		if (!member_network_knows(network, i, other,
+		if (!member_network_lists(network, i, other,
 					  runs ? MEMBER_LIVE : MEMBER_DEAD))
 			return false;
 	}
--- a/bench/member_network.h
+++ b/bench/member_network.h
@@ -47,14 +47,14 @@
 void member_network_pause(struct member_network *network, uint32_t node,
 			  int64_t until_us);
 void member_network_leave(struct member_network *network, uint32_t node);
-void member_network_cut(struct member_network *network, uint32_t from,
-			uint32_t to, bool blocked);
+void member_network_block(struct member_network *network, uint32_t from,
+			  uint32_t to, bool blocked);
 void member_network_set_loss(struct member_network *network, double loss);
 void member_network_run(struct member_network *network, int64_t until_us);
 
 int64_t member_network_now_us(const struct member_network *network);
-struct membership *member_network_get(struct member_network *network,
-				      uint32_t node);
+struct membership *member_network_membership(struct member_network *network,
+					     uint32_t node);
 const char *member_network_name(const struct member_network *network,
 				uint32_t node);
 uint32_t member_network_domain(const struct member_network *network,
@@ -62,7 +62,7 @@
 const struct member_network_totals *
 member_network_totals(const struct member_network *network);
 
-bool member_network_knows(const struct member_network *network, uint32_t node,
+bool member_network_lists(const struct member_network *network, uint32_t node,
 			  uint32_t other, enum member_state state);
 bool member_network_has_converged(const struct member_network *network);
 
--- a/bench/membership_bench.c
+++ b/bench/membership_bench.c
@@ -41,7 +41,7 @@
 
 	for (uint32_t i = node % options->regions; i < options->nodes;
 	     i += options->regions) {
-		if (i != node && member_network_knows(network, i, node, state))
+		if (i != node && member_network_lists(network, i, node, state))
 			count++;
 	}
 	return count;
--- a/bench/nodes.c
+++ b/bench/nodes.c
@@ -60,7 +60,7 @@
 
 static struct request *item_create_request(const struct workload_item *item)
 {
-	const char *name = workload_organisation(item->organisation);
+	const char *name = workload_organisation_name(item->organisation);
 	struct request *request;
 	char *body;
 
@@ -139,7 +139,7 @@
 	switch (action->type) {
 	case ACTION_CALL_ANSWER:
 		nodes_finish_request(nodes, caller,
-				     action->answer.status < 300 ? FLOW_WHOLE
+				     action->answer.status < 300 ? FLOW_COMPLETE
 								 : FLOW_BROKEN,
 				     REFUSAL_NONE);
 		break;
@@ -154,7 +154,7 @@
 	case ACTION_CALL_END:
 		nodes_finish_request(nodes, caller,
 				     action->end.refusal == REFUSAL_NONE
-					     ? FLOW_WHOLE
+					     ? FLOW_COMPLETE
 					     : FLOW_BROKEN,
 				     action->end.refusal);
 		break;
@@ -197,8 +197,8 @@
 		caller->flow.tokens = 0;
 		caller->flow.stall_us = 0;
 	}
-	measure_tokens(&nodes->measure, &caller->flow, output->token_count,
-		       output->at_us - START_US);
+	measure_add_tokens(&nodes->measure, &caller->flow, output->token_count,
+			   output->at_us - START_US);
 }
 
 static void nodes_send_next(struct world *world, void *data)
@@ -211,7 +211,7 @@
 		return;
 	item = &g_array_index(nodes->items, struct workload_item,
 			      nodes->next_item);
-	world_at(world, item->at_us + START_US, nodes_send_next, nodes);
+	world_schedule(world, item->at_us + START_US, nodes_send_next, nodes);
 }
 
 /* Returns the home of the engines, by the rule that the nodes apply. */
@@ -297,7 +297,7 @@
 		break;
 	case FAULT_NONE:
 	case FAULT_LATE_LOAD:
-	case FAULT_LYING_LOAD:
+	case FAULT_WRONG_LOAD:
 	case FAULTS:
 		break;
 	}
@@ -309,10 +309,10 @@
 				      ? RECLAIM_NOTICE_US
 				      : FAULT_DURATION_US;
 
-	world_at(nodes->world, START_US + SCENARIO_MID_US, nodes_begin_fault,
-		 nodes);
-	world_at(nodes->world, START_US + SCENARIO_MID_US + duration_us,
-		 nodes_end_fault, nodes);
+	world_schedule(nodes->world, START_US + SCENARIO_MID_US,
+		       nodes_begin_fault, nodes);
+	world_schedule(nodes->world, START_US + SCENARIO_MID_US + duration_us,
+		       nodes_end_fault, nodes);
 }
 
 static void nodes_configure(const struct nodes *nodes)
@@ -328,8 +328,8 @@
 		endpoint->slots = PLAIN_SLOTS;
 	}
 	for (int32_t i = 0; i < WORKLOAD_ORGANISATIONS; i++)
-		world_add_organisation(config, workload_organisation(i))
-			->weight = workload_weight(i);
+		world_add_organisation(config, workload_organisation_name(i))
+			->weight = workload_organisation_weight(i);
 	world_put_config(nodes->world, config);
 	config_unref(config);
 }
@@ -369,7 +369,7 @@
 
 	memset(nodes, 0, sizeof(*nodes));
 	nodes->scenario = scenario;
-	scenario_workload(scenario, seed, &workload);
+	scenario_fill_workload(scenario, seed, &workload);
 	nodes->items = workload_generate(&workload);
 	nodes->callers = g_new0(struct caller, nodes->items->len);
 	for (guint i = 0; i < nodes->items->len; i++) {
@@ -382,10 +382,10 @@
 	nodes->caller_by_call = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, g_free, NULL);
 	nodes->rand = g_rand_new_with_seed((guint32)seed);
-	measure_init(&nodes->measure, SCENARIO_WARM_US, SCENARIO_END_US);
+	measure_init(&nodes->measure, SCENARIO_WARMUP_US, SCENARIO_END_US);
 	nodes_create_world(nodes, policy, seed);
 	nodes_configure(nodes);
-	world_at(nodes->world, START_US, nodes_send_next, nodes);
+	world_schedule(nodes->world, START_US, nodes_send_next, nodes);
 	if (scenario->fault != FAULT_NONE)
 		nodes_schedule_fault(nodes);
 }
@@ -464,7 +464,7 @@
 	}
 	nodes_count_runs(nodes);
 	for (guint i = 0; i < nodes->items->len; i++)
-		measure_flow(&nodes->measure, &nodes->callers[i].flow);
+		measure_add_request(&nodes->measure, &nodes->callers[i].flow);
 	measure_figures(&nodes->measure,
 			scenario->fault == FAULT_NONE ? 0 : SCENARIO_MID_US,
 			figures);
--- a/bench/region.c
+++ b/bench/region.c
@@ -387,7 +387,7 @@
  * most PROPAGATION_LIMIT_US. Returns the time that passed, in us of virtual
  * time.
  */
-int64_t region_spread_config(struct region *region)
+int64_t region_propagate_config(struct region *region)
 {
 	int64_t start_us = region->now_us;
 
--- a/bench/region.h
+++ b/bench/region.h
@@ -52,7 +52,7 @@
 void region_stop_measure(struct region *region, struct region_cost *cost);
 int64_t region_allocated_bytes(void);
 
-int64_t region_spread_config(struct region *region);
+int64_t region_propagate_config(struct region *region);
 
 G_END_DECLS
 
--- a/bench/registry_bench.c
+++ b/bench/registry_bench.c
@@ -31,7 +31,7 @@
 	GPtrArray *changed = g_ptr_array_new_with_free_func(g_free);
 	int64_t started_us = g_get_monotonic_time();
 
-	registry_take_all(registry, list, REVISION, false, 0, changed);
+	registry_apply_listing(registry, list, REVISION, false, 0, changed);
 	g_ptr_array_unref(changed);
 	return g_get_monotonic_time() - started_us;
 }
@@ -48,9 +48,9 @@
 
 static double time_choice(const struct registry *registry)
 {
-	const struct engine_ability engine = {.slots = 24,
-					      .memory_tokens = 34000};
-	struct endpoint_wish wish = {
+	const struct engine_capabilities engine = {.slots = 24,
+						   .memory_tokens = 34000};
+	struct endpoint_criteria wish = {
 		.service = "engines",
 		.engine = &engine,
 		.failure_domain = "a",
--- a/bench/scenario.c
+++ b/bench/scenario.c
@@ -25,7 +25,7 @@
 	{"late_load", "100%, load reports 5 s late", .load = 1.0,
 	 .fault = FAULT_LATE_LOAD},
 	{"lying_load", "100%, reports of three engines are wrong", .load = 1.0,
-	 .fault = FAULT_LYING_LOAD},
+	 .fault = FAULT_WRONG_LOAD},
 	{"node_lost", "100%, an entry node dies", .load = 1.0,
 	 .fault = FAULT_NODE_LOST},
 	{"home_lost", "100%, the home of the engines dies", .load = 1.0,
@@ -58,8 +58,8 @@
 }
 
 /* Fills in the workload options of a scenario. */
-void scenario_workload(const struct scenario *scenario, uint64_t seed,
-		       struct workload_options *options)
+void scenario_fill_workload(const struct scenario *scenario, uint64_t seed,
+			    struct workload_options *options)
 {
 	workload_options_default(options);
 	options->load = scenario->load;
--- a/bench/scenario.h
+++ b/bench/scenario.h
@@ -28,7 +28,7 @@
 	FAULT_STALL,	   /* an engine generates no tokens for 20 s */
 	FAULT_SLOW,	   /* an engine takes four times as long */
 	FAULT_LATE_LOAD,   /* load reports come 5 s late */
-	FAULT_LYING_LOAD,  /* load reports are negative, implausible or
+	FAULT_WRONG_LOAD,  /* load reports are negative, implausible or
 			    * those of an empty engine */
 	FAULT_NODE_LOST,   /* an entry node crashes */
 	FAULT_HOME_LOST,   /* the home of the engines crashes, restarts */
@@ -50,15 +50,15 @@
 };
 
 #define SCENARIO_MID_US (150 * G_USEC_PER_SEC)
-#define SCENARIO_WARM_US (60 * G_USEC_PER_SEC)
+#define SCENARIO_WARMUP_US (60 * G_USEC_PER_SEC)
 #define SCENARIO_END_US (300 * G_USEC_PER_SEC)
 #define SCENARIO_DRAIN_US (200 * G_USEC_PER_SEC)
 
 extern const struct scenario scenarios[];
 size_t scenario_count(void);
 const struct scenario *scenario_find(const char *name);
-void scenario_workload(const struct scenario *scenario, uint64_t seed,
-		       struct workload_options *options);
+void scenario_fill_workload(const struct scenario *scenario, uint64_t seed,
+			    struct workload_options *options);
 const char *bench_policy_name(enum bench_policy policy);
 
 enum placement_policy bench_policy_placement(enum bench_policy policy);
--- a/bench/slope.c
+++ b/bench/slope.c
@@ -54,7 +54,7 @@
 {
 	struct placement_request request = {
 		.ticket = slope->next_ticket++,
-		.organisation = workload_organisation(
+		.organisation = workload_organisation_name(
 			(int32_t)(slope->next_ticket % WORKLOAD_ORGANISATIONS)),
 		.weight = 1,
 		.prompt_tokens = PROMPT_TOKENS,
@@ -87,7 +87,7 @@
 {
 	uint64_t ticket = g_array_index(slope->tickets, uint64_t, *first);
 
-	placement_release(slope->placement, ticket, RELEASE_WHOLE,
+	placement_release(slope->placement, ticket, RELEASE_COMPLETE,
 			  slope_output_tokens(slope, *first), slope->now_us);
 	(*first)++;
 }
@@ -100,7 +100,7 @@
 	for (int32_t i = 0; i < count && running > 0; i++) {
 		guint index = first + slope->next_progress++ % running;
 
-		placement_progress(
+		placement_report_progress(
 			slope->placement,
 			g_array_index(slope->tickets, uint64_t, index),
 			slope_output_tokens(slope, index), slope->now_us);
--- a/bench/standing_bench.c
+++ b/bench/standing_bench.c
@@ -29,7 +29,8 @@
 		char *id = build_id(i);
 		struct peer_held *held;
 
-		held = peer_standing_add(&message->standing, endpoint_key(id));
+		held = peer_standing_add_held(&message->standing,
+					      endpoint_key(id));
 		held->requests = 3;
 		held->tokens = 9000;
 		g_free(id);
@@ -50,7 +51,7 @@
 		entry->address = g_strdup("10.2.0.1:9000");
 		entry->failure_domain = g_strdup("a");
 		entry->revision = 1;
-		registry_take(registry, entry, false, 0);
+		registry_apply(registry, entry, false, 0);
 		registration_destroy(entry);
 	}
 	return registry;
@@ -79,9 +80,9 @@
 		struct peer_message *message =
 			peer_codec_decode(record, &error);
 
-		registry_take_held(registry, message->from,
-				   message->incarnation, message->standing.held,
-				   i);
+		registry_set_node_held(registry, message->from,
+				       message->incarnation,
+				       message->standing.held, i);
 		peer_message_destroy(message);
 	}
 	return us_per_round(started_us);
--- a/bench/stream_bench.c
+++ b/bench/stream_bench.c
@@ -42,7 +42,7 @@
 
 struct bench {
 	const struct options *options;
-	struct http_sessions *sessions;
+	struct http_session_pool *sessions;
 	GMainLoop *loop;
 	GPtrArray *direct; /* struct stream */
 	GPtrArray *via;
@@ -123,7 +123,7 @@
 	struct stream *stream = g_new0(struct stream, 1);
 	SoupMessage *message = stream_message(bench->options, address);
 	struct http_exchange_options options = {
-		.session = http_sessions_next(bench->sessions),
+		.session = http_session_pool_next(bench->sessions),
 		.message = message,
 		.step = "bench",
 		.peer = address,
@@ -276,7 +276,7 @@
 {
 	struct bench bench = {
 		.options = options,
-		.sessions = http_sessions_create(),
+		.sessions = http_session_pool_create(),
 		.loop = g_main_loop_new(NULL, FALSE),
 		.direct = g_ptr_array_new_with_free_func(stream_free),
 		.via = g_ptr_array_new_with_free_func(stream_free),
@@ -288,7 +288,7 @@
 	g_ptr_array_unref(bench.direct);
 	g_ptr_array_unref(bench.via);
 	g_main_loop_unref(bench.loop);
-	http_sessions_destroy(bench.sessions);
+	http_session_pool_destroy(bench.sessions);
 	return bench.broken ? EXIT_FAILURE : EXIT_SUCCESS;
 }
 
--- a/bench/telling.c
+++ b/bench/telling.c
@@ -48,13 +48,13 @@
 	double cpu_share;
 	double backlog_us; /* processor time of the queued work */
 	int64_t queued;	   /* records in the backlog */
-	struct standing_pace pace;
+	struct announce_pace pace;
 	int64_t version;
 	int64_t version_due_us;	   /* update by its own watch; 0: none */
 	int64_t announced_version; /* newest version of another node */
 	size_t announced_by;
 	struct table_fetch fetch;
-	struct table_offer offer;
+	struct table_copy_limit offer;
 	bool changed;
 	int64_t announced_us; /* last announcement, without the bound */
 };
@@ -129,7 +129,7 @@
 	int64_t since_us = sim->now_us - node->announced_us;
 
 	if (!sim->options->unbounded_standings)
-		return standing_pace_is_due(&node->pace, others, node->changed,
+		return announce_pace_is_due(&node->pace, others, node->changed,
 					    sim->now_us);
 	if (since_us < (node->changed ? 40 * 1000 : 250 * 1000))
 		return false;
@@ -171,7 +171,7 @@
 	charge_work(sim, node, WRITE_CPU_US);
 	charge_work(sim, other, READ_CPU_US);
 	sim->records++;
-	if (table_offer_take(&other->offer, DOCUMENT_BYTES, sim->now_us))
+	if (table_copy_limit_take(&other->offer, DOCUMENT_BYTES, sim->now_us))
 		send_document(sim, other, node);
 }
 
@@ -275,7 +275,7 @@
 
 		node->cpu_share = cpu_shares[i % G_N_ELEMENTS(cpu_shares)];
 		node->announced_us = g_rand_int_range(sim->random, 0, 250000);
-		standing_pace_init(&node->pace, node->announced_us);
+		announce_pace_init(&node->pace, node->announced_us);
 	}
 }
 
--- a/bench/workload.c
+++ b/bench/workload.c
@@ -60,13 +60,13 @@
  * Returns the weight of an organisation; a large one has four times the weight
  * of a small one.
  */
-int32_t workload_weight(int32_t organisation)
+int32_t workload_organisation_weight(int32_t organisation)
 {
 	return organisation < WORKLOAD_LARGE ? 4 : 1;
 }
 
 /* Returns the name of an organisation by its number. */
-const char *workload_organisation(int32_t organisation)
+const char *workload_organisation_name(int32_t organisation)
 {
 	return organisation_names[organisation];
 }
@@ -89,10 +89,10 @@
 	int32_t at;
 
 	for (int32_t i = 0; i < WORKLOAD_ORGANISATIONS; i++)
-		total += workload_weight(i);
+		total += workload_organisation_weight(i);
 	at = g_rand_int_range(rand, 0, total);
 	for (int32_t i = 0; i < WORKLOAD_ORGANISATIONS; i++) {
-		at -= workload_weight(i);
+		at -= workload_organisation_weight(i);
 		if (at < 0)
 			return i;
 	}
@@ -223,7 +223,7 @@
 	double plain_per_s = options->load * options->plain_slots *
 			     G_USEC_PER_SEC / PLAIN_MEAN_US / 2;
 	double share =
-		(double)workload_weight(0) /
+		(double)workload_organisation_weight(0) /
 		(4 * WORKLOAD_LARGE + WORKLOAD_ORGANISATIONS - WORKLOAD_LARGE);
 
 	workload_add_stream(items, options, per_s, false, false);
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -52,8 +52,8 @@
 void workload_options_default(struct workload_options *options);
 GArray *workload_generate(const struct workload_options *options);
 double workload_shift_rate(double shift);
-int32_t workload_weight(int32_t organisation);
-const char *workload_organisation(int32_t organisation);
+int32_t workload_organisation_weight(int32_t organisation);
+const char *workload_organisation_name(int32_t organisation);
 
 G_END_DECLS
 
--- a/bench/world.c
+++ b/bench/world.c
@@ -157,8 +157,8 @@
 }
 
 /* Calls callback once at at_us. The caller keeps ownership of data. */
-void world_at(struct world *world, int64_t at_us, world_callback callback,
-	      void *data)
+void world_schedule(struct world *world, int64_t at_us, world_callback callback,
+		    void *data)
 {
 	world_post(world, at_us, callback, data, NULL);
 }
@@ -268,7 +268,7 @@
 {
 	GBytes *document = config_json_format(config);
 
-	kv_model_begin(world->kv);
+	kv_model_begin_transaction(world->kv);
 	kv_model_put(world->kv, CONFIG_KEY, document, 0);
 	g_bytes_unref(document);
 	world_kv_notify(world);
--- a/bench/world.h
+++ b/bench/world.h
@@ -45,14 +45,14 @@
 	int64_t connect_timeout_us;
 	int64_t vm_list_lag_us; /* until the VM list shows a leaving endpoint */
 	int64_t vm_list_poll_us; /* interval at which each node reads it */
-	bool seeds_are_gone;	 /* the seed addresses belong to no node */
+	bool seeds_unreachable;	 /* the seed addresses belong to no node */
 	int32_t prefix_percent;	 /* of a prompt, covered by its prefix hash */
 	int32_t peer_drop_permille; /* of peer messages */
-	int32_t peer_double_permille;
+	int32_t peer_duplicate_permille;
 	int32_t peer_late_permille;  /* delayed by seconds, behind newer ones */
 	int32_t chunk_drop_permille; /* of an engine's chunks */
-	int32_t chunk_double_permille;
-	int32_t chunk_cross_permille; /* swapped with the event before */
+	int32_t chunk_duplicate_permille;
+	int32_t chunk_reorder_permille; /* swapped with the event before */
 };
 
 /* One run of a request at an endpoint. */
@@ -100,8 +100,8 @@
 void world_destroy(struct world *world);
 void world_run_until(struct world *world, int64_t until_us);
 int64_t world_now_us(const struct world *world);
-void world_at(struct world *world, int64_t at_us, world_callback callback,
-	      void *data);
+void world_schedule(struct world *world, int64_t at_us, world_callback callback,
+		    void *data);
 
 struct config *world_create_config(const struct world *world);
 struct config_organisation *world_add_organisation(struct config *config,
--- a/bench/world_attempt.c
+++ b/bench/world_attempt.c
@@ -167,13 +167,13 @@
 
 	if (world_chance(world, world->options.chunk_drop_permille))
 		return;
-	if (world_chance(world, world->options.chunk_double_permille))
+	if (world_chance(world, world->options.chunk_duplicate_permille))
 		attempt_push(world, attempt, chunk_event(attempt, first, count),
 			     delay_us);
 	attempt_push(world, attempt, chunk_event(attempt, first, count),
 		     delay_us);
 	if (g_queue_get_length(&attempt->events) > 1 &&
-	    world_chance(world, world->options.chunk_cross_permille)) {
+	    world_chance(world, world->options.chunk_reorder_permille)) {
 		gpointer last = g_queue_pop_tail(&attempt->events);
 		gpointer before = g_queue_pop_tail(&attempt->events);
 
--- a/bench/world_call.c
+++ b/bench/world_call.c
@@ -332,7 +332,7 @@
 		break;
 	case ACTION_CALL_REFUSE:
 		forwarded_text(world, caller,
-			       refusal_status(action->refuse.refusal),
+			       refusal_http_status(action->refuse.refusal),
 			       "application/json",
 			       refusal_json(action->refuse.refusal,
 					    action->refuse.run));
--- a/bench/world_endpoint.c
+++ b/bench/world_endpoint.c
@@ -70,7 +70,7 @@
 {
 	struct world_endpoint *engine = &world->endpoints[index];
 
-	engine_model_step(engine->model, world->now_us, world->outputs);
+	engine_model_advance(engine->model, world->now_us, world->outputs);
 	engine_handle_outputs(world);
 	world_engine_queue_wake(world, engine);
 }
--- a/bench/world_node.c
+++ b/bench/world_node.c
@@ -17,7 +17,7 @@
 	int32_t count = MIN(SEED_NODES, world->options.node_count);
 
 	for (int32_t i = 0; i < count; i++)
-		seeds[i] = world->options.seeds_are_gone
+		seeds[i] = world->options.seeds_unreachable
 				   ? unreachable_address
 				   : world->nodes[i].peer_address;
 	seeds[count] = NULL;
@@ -115,7 +115,7 @@
 	if (to == INDEX_NONE || !world->nodes[to].node ||
 	    world_chance(world, world->options.peer_drop_permille))
 		return;
-	if (world_chance(world, world->options.peer_double_permille))
+	if (world_chance(world, world->options.peer_duplicate_permille))
 		copies = 2;
 	delivery = g_rc_box_new0(struct peer_delivery);
 	delivery->from = from;
--- a/bench/world_stream.c
+++ b/bench/world_stream.c
@@ -129,9 +129,9 @@
 }
 
 /*
- * Reattaches a node to a generation. The attempt fails with ATTEMPT_GONE if the
- * endpoint does not have the generation or the requested token lies ahead of
- * it.
+ * Reattaches a node to a generation. The attempt fails with ATTEMPT_NOT_FOUND
+ * if the endpoint does not have the generation or the requested token lies
+ * ahead of it.
  */
 void world_stream_resume(struct world *world, struct world_attempt *attempt)
 {
@@ -143,7 +143,7 @@
 			g_ascii_strtoull(attempt->generation + 1, NULL, 10));
 	if (!stream || stream->run->endpoint != attempt->endpoint ||
 	    attempt->next_token > stream->run->tokens) {
-		world_attempt_fail(world, attempt, ATTEMPT_GONE, 0);
+		world_attempt_fail(world, attempt, ATTEMPT_NOT_FOUND, 0);
 		return;
 	}
 	world_stream_attach(world, stream, attempt);
--- a/codec/etcd_field.c
+++ b/codec/etcd_field.c
@@ -12,7 +12,7 @@
 {
 	char *text = g_base64_encode(data, size);
 
-	json_writer_text(builder, name, text);
+	json_writer_add_string(builder, name, text);
 	g_free(text);
 }
 
@@ -28,7 +28,7 @@
 	char text[32];
 
 	g_snprintf(text, sizeof(text), "%" G_GINT64_FORMAT, value);
-	json_writer_text(builder, name, text);
+	json_writer_add_string(builder, name, text);
 }
 
 /*
--- a/codec/etcd_json.c
+++ b/codec/etcd_json.c
@@ -79,8 +79,8 @@
 
 	begin_list(builder, "compare");
 	etcd_field_add_key(builder, "key", request->key);
-	json_writer_text(builder, "result", "EQUAL");
-	json_writer_text(builder, "target", create ? "CREATE" : "MOD");
+	json_writer_add_string(builder, "result", "EQUAL");
+	json_writer_add_string(builder, "target", create ? "CREATE" : "MOD");
 	etcd_field_add_int64(builder,
 			     create ? "create_revision" : "mod_revision",
 			     request->expected_revision);
@@ -138,7 +138,7 @@
 		break;
 	}
 	json_builder_end_object(builder);
-	return json_writer_take(builder);
+	return json_writer_finish(builder);
 }
 
 static bool read_entry(GPtrArray *entries, JsonNode *node, struct error *error)
--- a/codec/etcd_watch.c
+++ b/codec/etcd_watch.c
@@ -9,7 +9,7 @@
  * Returns the body of a request that watches key from start_revision on, owned
  * by the caller.
  */
-GBytes *etcd_watch_format(const char *key, int64_t start_revision)
+GBytes *etcd_watch_format_request(const char *key, int64_t start_revision)
 {
 	JsonBuilder *builder = json_builder_new();
 
@@ -19,7 +19,7 @@
 	etcd_field_add_int64(builder, "start_revision", start_revision);
 	json_builder_end_object(builder);
 	json_builder_end_object(builder);
-	return json_writer_take(builder);
+	return json_writer_finish(builder);
 }
 
 static void etcd_change_destroy(gpointer data)
--- a/codec/etcd_watch.h
+++ b/codec/etcd_watch.h
@@ -27,7 +27,7 @@
 	GPtrArray *changes; /* struct etcd_change; NULL: none */
 };
 
-GBytes *etcd_watch_format(const char *key, int64_t start_revision);
+GBytes *etcd_watch_format_request(const char *key, int64_t start_revision);
 bool etcd_watch_message_parse(GBytes *line, size_t max_bytes,
 			      struct etcd_watch_message *message,
 			      struct error *error);
--- a/codec/order_json.c
+++ b/codec/order_json.c
@@ -11,15 +11,15 @@
  * Returns the body of an order that sets the target of an engine, owned by the
  * caller. fence is the fencing number of the order.
  */
-GBytes *order_json_format(int64_t fence, const char *target)
+GBytes *order_json_format_request(int64_t fence, const char *target)
 {
 	JsonBuilder *builder = json_builder_new();
 
 	json_builder_begin_object(builder);
-	json_writer_number(builder, "fence", fence);
-	json_writer_text(builder, "target", target);
+	json_writer_add_int(builder, "fence", fence);
+	json_writer_add_string(builder, "target", target);
 	json_builder_end_object(builder);
-	return json_writer_take(builder);
+	return json_writer_finish(builder);
 }
 
 /*
--- a/codec/order_json.h
+++ b/codec/order_json.h
@@ -20,7 +20,7 @@
 	int64_t requests_running;
 };
 
-GBytes *order_json_format(int64_t fence, const char *target);
+GBytes *order_json_format_request(int64_t fence, const char *target);
 bool order_json_parse_state(GBytes *body, struct order_state *state,
 			    struct error *error);
 void order_state_clear(struct order_state *state);
--- a/codec/peer_codec.c
+++ b/codec/peer_codec.c
@@ -43,7 +43,7 @@
 	[PEER_PROGRESS] = PEER_PROGRESS_FORMAT,
 	[PEER_RELEASE] = "(ttxuyss)",
 	[PEER_CONFIG] = "(txssay)",
-	[PEER_CONFIG_ASK] = "(txssay)",
+	[PEER_CONFIG_REQUEST] = "(txssay)",
 	[PEER_LEAVING] = "(tssas)",
 	[PEER_QUARANTINE] = "(ttsss)",
 	[PEER_LIMIT_REPORT] = "(tssa(uuu))",
@@ -52,7 +52,7 @@
 	[PEER_ROUTES] = "(txssay)",
 	[PEER_CHOOSE] = PEER_CHOOSE_FORMAT,
 	[PEER_CHOSEN] = PEER_CHOSEN_FORMAT,
-	[PEER_ROUTES_ASK] = "(txssay)",
+	[PEER_ROUTES_REQUEST] = "(txssay)",
 };
 
 static GVariant *encode_members(const GPtrArray *members)
@@ -164,9 +164,9 @@
 			peer_field_tokens(message->release.tokens),
 			(guchar)message->release.outcome, from, address);
 	case PEER_CONFIG:
-	case PEER_CONFIG_ASK:
+	case PEER_CONFIG_REQUEST:
 	case PEER_ROUTES:
-	case PEER_ROUTES_ASK:
+	case PEER_ROUTES_REQUEST:
 		return encode_config(message);
 	case PEER_STANDING:
 		return peer_standing_encode(message);
@@ -374,7 +374,7 @@
 	release->tokens = tokens;
 	release->outcome = (enum release_outcome)outcome;
 	return check(error, message->from,
-		     outcome <= RELEASE_LOST &&
+		     outcome <= RELEASE_UNREACHABLE &&
 			     tokens <= PEER_FIELD_MAX_TOKENS &&
 			     release->duration_us >= 0 &&
 			     release->duration_us <= MAX_DURATION_US,
@@ -385,8 +385,8 @@
 			  struct error *error)
 {
 	struct peer_config *config = &message->config;
-	bool is_request = message->type == PEER_CONFIG_ASK ||
-			  message->type == PEER_ROUTES_ASK;
+	bool is_request = message->type == PEER_CONFIG_REQUEST ||
+			  message->type == PEER_ROUTES_REQUEST;
 	GVariant *bytes = g_variant_get_child_value(body, 4);
 	gsize size = g_variant_get_size(bytes);
 
@@ -474,9 +474,9 @@
 	case PEER_RELEASE:
 		return decode_release(body, message, error);
 	case PEER_CONFIG:
-	case PEER_CONFIG_ASK:
+	case PEER_CONFIG_REQUEST:
 	case PEER_ROUTES:
-	case PEER_ROUTES_ASK:
+	case PEER_ROUTES_REQUEST:
 		return decode_config(body, message, error);
 	case PEER_STANDING:
 		return check(error, message->from,
--- a/codec/peer_holdings.c
+++ b/codec/peer_holdings.c
@@ -251,7 +251,7 @@
 static bool progress_body_add(const struct progress_body *progress, gsize i,
 			      struct peer_progress *result)
 {
-	struct peer_holding *holding = peer_progress_add(result);
+	struct peer_holding *holding = peer_progress_add_holding(result);
 
 	if (progress->tickets)
 		holding->ticket = progress->tickets[i];
--- a/codec/peer_standing.c
+++ b/codec/peer_standing.c
@@ -65,7 +65,7 @@
 			peer_field_text(entry->service),
 			peer_field_text(entry->address),
 			peer_field_text(entry->failure_domain),
-			entry->started_ms, entry->warmup_left_us,
+			entry->started_ms, entry->warmup_remaining_us,
 			entry->revision,
 			(guint32)CLAMP(entry->slots, 0, MAX_REQUESTS),
 			(guchar)entry->is_leaving, (guchar)entry->is_removed);
@@ -84,7 +84,8 @@
 	return g_variant_new("(txtbbsss@a" PEER_HELD_FORMAT
 			     "@a" PEER_REGISTRATION_FORMAT ")",
 			     message->incarnation, standing->table_version,
-			     standing->answered, (gboolean)standing->takes_work,
+			     standing->answered,
+			     (gboolean)standing->accepts_requests,
 			     (gboolean)standing->reaches_store,
 			     peer_field_text(message->from),
 			     peer_field_text(message->from_address),
@@ -110,7 +111,7 @@
 		    record->tokens > PEER_FIELD_MAX_TOKENS ||
 		    record->unread_tokens > PEER_FIELD_MAX_TOKENS)
 			return false;
-		held = peer_standing_add(standing, record->endpoint_key);
+		held = peer_standing_add_held(standing, record->endpoint_key);
 		held->requests = (int32_t)record->requests;
 		held->copies = (int32_t)record->copies;
 		held->tokens = record->tokens;
@@ -126,7 +127,7 @@
 	       peer_field_text_is_valid(entry->address, entry->is_removed) &&
 	       peer_field_text_is_valid(entry->failure_domain, true) &&
 	       entry->revision >= 0 && entry->started_ms >= 0 &&
-	       entry->warmup_left_us >= 0 && entry->slots >= 0 &&
+	       entry->warmup_remaining_us >= 0 && entry->slots >= 0 &&
 	       entry->slots <= MAX_REQUESTS;
 }
 
@@ -141,12 +142,12 @@
 		guint32 slots;
 		guchar is_leaving, is_removed;
 
-		g_variant_get_child(list, i, PEER_REGISTRATION_FORMAT,
-				    &entry->id, &entry->service,
-				    &entry->address, &entry->failure_domain,
-				    &entry->started_ms, &entry->warmup_left_us,
-				    &entry->revision, &slots, &is_leaving,
-				    &is_removed);
+		g_variant_get_child(
+			list, i, PEER_REGISTRATION_FORMAT, &entry->id,
+			&entry->service, &entry->address,
+			&entry->failure_domain, &entry->started_ms,
+			&entry->warmup_remaining_us, &entry->revision, &slots,
+			&is_leaving, &is_removed);
 		entry->slots = (int32_t)MIN(slots, (guint32)INT32_MAX);
 		entry->is_leaving = is_leaving;
 		entry->is_removed = is_removed;
@@ -163,16 +164,16 @@
 	GVariant *held = g_variant_get_child_value(body, CHILD_HELD);
 	GVariant *registrations =
 		g_variant_get_child_value(body, CHILD_REGISTRATIONS);
-	gboolean takes_work, reaches_store;
+	gboolean accepts_requests, reaches_store;
 	bool valid;
 
 	g_variant_get_child(body, 1, "x", &standing->table_version);
 	g_variant_get_child(body, 2, "t", &standing->answered);
-	g_variant_get_child(body, 3, "b", &takes_work);
+	g_variant_get_child(body, 3, "b", &accepts_requests);
 	g_variant_get_child(body, 4, "b", &reaches_store);
 	g_variant_get_child(body, CHILD_CALLERS_ADDRESS, "s",
 			    &standing->callers_address);
-	standing->takes_work = takes_work;
+	standing->accepts_requests = accepts_requests;
 	standing->reaches_store = reaches_store;
 	valid = standing->table_version >= -1 &&
 		peer_field_text_is_valid(standing->callers_address, true) &&
--- a/core/base/counters.c
+++ b/core/base/counters.c
@@ -100,7 +100,8 @@
 };
 
 /* Adds a latency to its histogram. */
-void counters_time(struct counters *counters, enum latency id, int64_t us)
+void counters_add_latency(struct counters *counters, enum latency id,
+			  int64_t us)
 {
 	struct latency_histogram *histogram = &counters->latency[id];
 	int bucket = 0;
--- a/core/base/counters.h
+++ b/core/base/counters.h
@@ -76,7 +76,8 @@
 const char *counter_name(enum counter id);
 const char *counter_help(enum counter id);
 
-void counters_time(struct counters *counters, enum latency id, int64_t us);
+void counters_add_latency(struct counters *counters, enum latency id,
+			  int64_t us);
 const char *latency_name(enum latency id);
 const char *latency_help(enum latency id);
 int64_t latency_bound_us(int bucket); /* -1: none */
--- a/core/config/config.c
+++ b/core/config/config.c
@@ -276,9 +276,10 @@
  * config is NULL or not later than base_revision, or if its history no longer
  * reaches back to base_revision.
  */
-enum plan_effect config_find_plan(const struct config *config,
-				  const char *plan_id, int64_t base_revision,
-				  int64_t *revision)
+enum plan_effect config_find_plan_effect(const struct config *config,
+					 const char *plan_id,
+					 int64_t base_revision,
+					 int64_t *revision)
 {
 	const struct config_confirmation *oldest = NULL;
 
@@ -351,8 +352,8 @@
  * compared, so how far two of them match, and thus how long the comparison
  * takes, reveals nothing about the key itself.
  */
-const struct config_organisation *config_find_key(const struct config *config,
-						  const char *bearer)
+const struct config_organisation *
+config_find_key_owner(const struct config *config, const char *bearer)
 {
 	const struct config_organisation *found = NULL;
 	char *digest;
--- a/core/config/config.h
+++ b/core/config/config.h
@@ -29,7 +29,7 @@
 };
 
 /* What the engines of a service support; slots 0: a plain service. */
-struct engine_ability {
+struct engine_capabilities {
 	int32_t slots;
 	int64_t memory_tokens;
 	int32_t tokens_per_event; /* in a stream */
@@ -43,7 +43,7 @@
 	enum service_kind kind;
 	GPtrArray *endpoints;	 /* struct config_endpoint */
 	int32_t max_connections; /* per endpoint, all nodes; 0: no limit */
-	struct engine_ability engine;
+	struct engine_capabilities engine;
 };
 
 struct config_organisation {
@@ -135,9 +135,10 @@
 						    const char *plan_id,
 						    const char *confirmed_by,
 						    const char *summary);
-enum plan_effect config_find_plan(const struct config *config,
-				  const char *plan_id, int64_t base_revision,
-				  int64_t *revision);
+enum plan_effect config_find_plan_effect(const struct config *config,
+					 const char *plan_id,
+					 int64_t base_revision,
+					 int64_t *revision);
 int64_t config_confirmation_revision(const struct config *config, guint i);
 const struct config_service *config_find_service(const struct config *config,
 						 const char *name);
@@ -146,8 +147,8 @@
 			     const char *address);
 const struct config_organisation *
 config_find_organisation(const struct config *config, const char *name);
-const struct config_organisation *config_find_key(const struct config *config,
-						  const char *bearer);
+const struct config_organisation *
+config_find_key_owner(const struct config *config, const char *bearer);
 
 G_END_DECLS
 
--- a/core/config/config_format.c
+++ b/core/config/config_format.c
@@ -39,34 +39,36 @@
 	const struct config_endpoint *endpoint = item;
 
 	json_builder_begin_object(builder);
-	json_writer_string(builder, "address", endpoint->address);
-	json_writer_string(builder, "failure_domain", endpoint->failure_domain);
-	json_writer_string(builder, "region", endpoint->region);
-	json_writer_int(builder, "capacity_tokens", endpoint->capacity_tokens,
-			0);
-	json_writer_int(builder, "slots", endpoint->slots,
-			CONFIG_DEFAULT_SLOTS);
-	json_writer_true(builder, "checks_fence", endpoint->checks_fence);
-	json_writer_true(builder, "leaving", endpoint->leaving);
+	json_writer_add_nonempty(builder, "address", endpoint->address);
+	json_writer_add_nonempty(builder, "failure_domain",
+				 endpoint->failure_domain);
+	json_writer_add_nonempty(builder, "region", endpoint->region);
+	json_writer_add_nondefault(builder, "capacity_tokens",
+				   endpoint->capacity_tokens, 0);
+	json_writer_add_nondefault(builder, "slots", endpoint->slots,
+				   CONFIG_DEFAULT_SLOTS);
+	json_writer_add_if_true(builder, "checks_fence",
+				endpoint->checks_fence);
+	json_writer_add_if_true(builder, "leaving", endpoint->leaving);
 	json_builder_end_object(builder);
 }
 
 static void format_capabilities(JsonBuilder *builder,
 				const struct config_service *service)
 {
-	const struct engine_ability *engine = &service->engine;
-
-	json_writer_int(builder, "max_connections", service->max_connections,
-			0);
-	json_writer_int(builder, "engine_slots", engine->slots, 0);
-	json_writer_int(builder, "engine_memory_tokens", engine->memory_tokens,
-			0);
-	json_writer_int(builder, "tokens_per_event", engine->tokens_per_event,
-			1);
-	json_writer_int(builder, "copy_keep_ms", engine->copy_keep_us / 1000,
-			0);
-	json_writer_true(builder, "can_move", engine->can_move);
-	json_writer_true(builder, "can_back_up", engine->can_back_up);
+	const struct engine_capabilities *engine = &service->engine;
+
+	json_writer_add_nondefault(builder, "max_connections",
+				   service->max_connections, 0);
+	json_writer_add_nondefault(builder, "engine_slots", engine->slots, 0);
+	json_writer_add_nondefault(builder, "engine_memory_tokens",
+				   engine->memory_tokens, 0);
+	json_writer_add_nondefault(builder, "tokens_per_event",
+				   engine->tokens_per_event, 1);
+	json_writer_add_nondefault(builder, "copy_keep_ms",
+				   engine->copy_keep_us / 1000, 0);
+	json_writer_add_if_true(builder, "can_move", engine->can_move);
+	json_writer_add_if_true(builder, "can_back_up", engine->can_back_up);
 }
 
 static void add_service(JsonBuilder *builder, gconstpointer item)
@@ -74,8 +76,9 @@
 	const struct config_service *service = item;
 
 	json_builder_begin_object(builder);
-	json_writer_string(builder, "name", service->name);
-	json_writer_string(builder, "kind", service_kind_name(service->kind));
+	json_writer_add_nonempty(builder, "name", service->name);
+	json_writer_add_nonempty(builder, "kind",
+				 service_kind_name(service->kind));
 	format_capabilities(builder, service);
 	config_format_sorted_list(builder, "endpoints", service->endpoints,
 				  add_endpoint);
@@ -98,16 +101,18 @@
 	const struct config_organisation *organisation = item;
 
 	json_builder_begin_object(builder);
-	json_writer_string(builder, "name", organisation->name);
-	json_writer_string(builder, "key_sha256", organisation->key_sha256);
-	json_writer_int(builder, "priority", organisation->priority, 0);
-	json_writer_int(builder, "weight", organisation->weight, 1);
-	json_writer_int(builder, "requests_per_s", organisation->requests_per_s,
-			0);
-	json_writer_int(builder, "concurrent_tokens",
-			organisation->concurrent_tokens, 0);
-	json_writer_int(builder, "route_priority", organisation->route_priority,
-			-1);
+	json_writer_add_nonempty(builder, "name", organisation->name);
+	json_writer_add_nonempty(builder, "key_sha256",
+				 organisation->key_sha256);
+	json_writer_add_nondefault(builder, "priority", organisation->priority,
+				   0);
+	json_writer_add_nondefault(builder, "weight", organisation->weight, 1);
+	json_writer_add_nondefault(builder, "requests_per_s",
+				   organisation->requests_per_s, 0);
+	json_writer_add_nondefault(builder, "concurrent_tokens",
+				   organisation->concurrent_tokens, 0);
+	json_writer_add_nondefault(builder, "route_priority",
+				   organisation->route_priority, -1);
 	format_more_keys(builder, organisation->more_keys);
 	json_builder_end_object(builder);
 }
@@ -117,15 +122,17 @@
 	const struct config_rollout *rollout = item;
 
 	json_builder_begin_object(builder);
-	json_writer_string(builder, "name", rollout->name);
-	json_writer_string(builder, "service", rollout->service);
-	json_writer_string(builder, "target", rollout->target);
-	json_writer_string(builder, "id", rollout->id);
-	json_writer_int(builder, "max_parallel", rollout->max_parallel, 1);
-	json_writer_int(builder, "min_ready_percent",
-			rollout->min_ready_percent,
-			CONFIG_DEFAULT_READY_PERCENT);
-	json_writer_int(builder, "max_failures", rollout->max_failures, 0);
+	json_writer_add_nonempty(builder, "name", rollout->name);
+	json_writer_add_nonempty(builder, "service", rollout->service);
+	json_writer_add_nonempty(builder, "target", rollout->target);
+	json_writer_add_nonempty(builder, "id", rollout->id);
+	json_writer_add_nondefault(builder, "max_parallel",
+				   rollout->max_parallel, 1);
+	json_writer_add_nondefault(builder, "min_ready_percent",
+				   rollout->min_ready_percent,
+				   CONFIG_DEFAULT_READY_PERCENT);
+	json_writer_add_nondefault(builder, "max_failures",
+				   rollout->max_failures, 0);
 	json_builder_end_object(builder);
 }
 
@@ -137,14 +144,16 @@
 			g_ptr_array_index(history, i);
 
 		json_builder_begin_object(builder);
-		json_writer_int(builder, "base_revision",
-				confirmation->base_revision, 0);
-		json_writer_string(builder, "plan_id", confirmation->plan_id);
-		json_writer_string(builder, "confirmed_by",
-				   confirmation->confirmed_by);
-		json_writer_int(builder, "confirmed_s",
-				confirmation->confirmed_s, 0);
-		json_writer_string(builder, "summary", confirmation->summary);
+		json_writer_add_nondefault(builder, "base_revision",
+					   confirmation->base_revision, 0);
+		json_writer_add_nonempty(builder, "plan_id",
+					 confirmation->plan_id);
+		json_writer_add_nonempty(builder, "confirmed_by",
+					 confirmation->confirmed_by);
+		json_writer_add_nondefault(builder, "confirmed_s",
+					   confirmation->confirmed_s, 0);
+		json_writer_add_nonempty(builder, "summary",
+					 confirmation->summary);
 		json_builder_end_object(builder);
 	}
 	json_builder_end_array(builder);
@@ -154,8 +163,8 @@
 void config_format(JsonBuilder *builder, const struct config *config)
 {
 	json_builder_begin_object(builder);
-	json_writer_string(builder, "plan_id", config->plan_id);
-	json_writer_string(builder, "confirmed_by", config->confirmed_by);
+	json_writer_add_nonempty(builder, "plan_id", config->plan_id);
+	json_writer_add_nonempty(builder, "confirmed_by", config->confirmed_by);
 	config_format_sorted_list(builder, "services", config->services,
 				  add_service);
 	config_format_sorted_list(builder, "organisations",
--- a/core/config/config_json.c
+++ b/core/config/config_json.c
@@ -31,7 +31,7 @@
 	if (!json_fields_begin(&fields, node, "config.parse", error,
 			       "history[%u].", i))
 		return false;
-	json_fields_allow(&fields, names);
+	json_fields_allow_only(&fields, names);
 	base_revision =
 		json_fields_int(&fields, "base_revision", 0, G_MAXINT64, 0);
 	confirmed_s = json_fields_int(&fields, "confirmed_s", 0, G_MAXINT64, 0);
@@ -60,7 +60,7 @@
 
 	if (!json_fields_begin(&fields, root, "config.parse", error, "%s", ""))
 		return false;
-	json_fields_allow(&fields, names);
+	json_fields_allow_only(&fields, names);
 	replace_string(&config->plan_id,
 		       json_fields_string(&fields, "plan_id", 0,
 					  CONFIG_MAX_NAME_BYTES));
@@ -112,5 +112,5 @@
 	JsonBuilder *builder = json_builder_new();
 
 	config_format(builder, config);
-	return json_writer_take(builder);
+	return json_writer_finish(builder);
 }
--- a/core/config/config_read.c
+++ b/core/config/config_read.c
@@ -103,7 +103,7 @@
 	if (!json_fields_begin(&fields, node, "config.parse", error,
 			       "services[%u].endpoints[%u].", i, j))
 		return false;
-	json_fields_allow(&fields, names);
+	json_fields_allow_only(&fields, names);
 	endpoint = config_service_add_endpoint(service, read_address(&fields));
 	replace_string(&endpoint->failure_domain,
 		       config_read_name(&fields, "failure_domain", 0));
@@ -134,7 +134,7 @@
 static void read_capabilities(struct config_service *service,
 			      struct json_fields *fields)
 {
-	struct engine_ability *engine = &service->engine;
+	struct engine_capabilities *engine = &service->engine;
 
 	service->max_connections = (int32_t)json_fields_int(
 		fields, "max_connections", 0, MAX_SLOTS, 0);
@@ -172,7 +172,7 @@
 	if (!json_fields_begin(&fields, node, "config.parse", error,
 			       "services[%u].", i))
 		return false;
-	json_fields_allow(&fields, names);
+	json_fields_allow_only(&fields, names);
 	name = config_read_name(&fields, "name", 1);
 	service = config_add_service(config, name, read_kind(&fields));
 	read_capabilities(service, &fields);
@@ -261,7 +261,7 @@
 	if (!json_fields_begin(&fields, node, "config.parse", error,
 			       "organisations[%u].", i))
 		return false;
-	json_fields_allow(&fields, is_intent ? names : stored_names);
+	json_fields_allow_only(&fields, is_intent ? names : stored_names);
 	organisation = config_add_organisation(
 		config, config_read_name(&fields, "name", 1));
 	g_free(organisation->key_sha256);
@@ -304,7 +304,7 @@
 	if (!json_fields_begin(&fields, node, "config.parse", error,
 			       "rollouts[%u].", i))
 		return false;
-	json_fields_allow(&fields, is_intent ? names : stored_names);
+	json_fields_allow_only(&fields, is_intent ? names : stored_names);
 	rollout = config_add_rollout(config,
 				     config_read_name(&fields, "name", 1));
 	replace_string(&rollout->service,
--- a/core/config/intent_json.c
+++ b/core/config/intent_json.c
@@ -52,7 +52,7 @@
 	intent->remove_routes = g_ptr_array_new_with_free_func(g_free);
 	ok = json_fields_begin(&fields, root, "intent.parse", error, "%s", "");
 	if (ok)
-		json_fields_allow(&fields, names);
+		json_fields_allow_only(&fields, names);
 	ok = ok &&
 	     read_removals(intent->remove_services, &fields,
 			   "remove_services") &&
@@ -62,7 +62,7 @@
 			   "remove_rollouts") &&
 	     read_removals(intent->remove_routes, &fields, "remove_routes") &&
 	     config_read_items(intent->items, &fields, true, error);
-	intent->has_callers = ok && json_fields_has(&fields, "callers");
+	intent->has_caller_limits = ok && json_fields_has(&fields, "callers");
 	json_node_unref(root);
 	if (!ok)
 		g_clear_pointer(&intent, intent_destroy);
@@ -84,7 +84,7 @@
 					    "%s", "");
 
 	if (ok) {
-		json_fields_allow(&fields, names);
+		json_fields_allow_only(&fields, names);
 		*revision = json_fields_int(&fields, "rollback_to", 1,
 					    G_MAXINT64, 0);
 		ok = !fields.failed && *revision != 0;
--- a/core/config/intent_json.h
+++ b/core/config/intent_json.h
@@ -20,7 +20,7 @@
 	GPtrArray *remove_organisations; /* char * */
 	GPtrArray *remove_rollouts;	 /* char * */
 	GPtrArray *remove_routes;	 /* char * */
-	bool has_callers;		 /* items->callers is to be applied */
+	bool has_caller_limits;		 /* items->callers is to be applied */
 };
 
 struct intent *intent_json_parse(GBytes *document, struct error *error);
--- a/core/config/route_json.c
+++ b/core/config/route_json.c
@@ -58,7 +58,7 @@
 	if (!json_fields_begin(&fields, node, STEP, error,
 			       "routes[%u].targets[%u].", i, j))
 		return false;
-	json_fields_allow(&fields, names);
+	json_fields_allow_only(&fields, names);
 	service = config_read_name(&fields, "service", 1);
 	weight = json_fields_int(&fields, "weight", 0, MAX_WEIGHT, 1);
 	if (!fields.failed)
@@ -119,7 +119,7 @@
 
 	if (!json_fields_begin(&fields, node, STEP, error, "routes[%u].", i))
 		return false;
-	json_fields_allow(&fields, names);
+	json_fields_allow_only(&fields, names);
 	name = config_read_name(&fields, "name", 1);
 	host = config_read_name(&fields, "host", 1);
 	route = config_add_route(config, name, host, read_path_prefix(&fields));
@@ -146,8 +146,9 @@
 			&g_array_index(route->targets, struct route_target, i);
 
 		json_builder_begin_object(builder);
-		json_writer_string(builder, "service", target->service);
-		json_writer_int(builder, "weight", target->weight, 1);
+		json_writer_add_nonempty(builder, "service", target->service);
+		json_writer_add_nondefault(builder, "weight", target->weight,
+					   1);
 		json_builder_end_object(builder);
 	}
 	json_builder_end_array(builder);
@@ -158,19 +159,20 @@
 	const struct route *route = item;
 
 	json_builder_begin_object(builder);
-	json_writer_string(builder, "name", route->name);
-	json_writer_string(builder, "host", route->host);
-	json_writer_string(builder, "path_prefix", route->path_prefix);
-	json_writer_string(builder, "kind", route_kind_name(route->kind));
-	json_writer_true(builder, "public", route->is_public);
-	json_writer_int(builder, "priority", route->priority, 0);
-	json_writer_int(builder, "max_attempts", route->max_attempts, 1);
-	json_writer_int(builder, "timeout_ms", route->timeout_us / US_PER_MS,
-			30000);
-	json_writer_int(builder, "first_answer_ms",
-			route->first_answer_us / US_PER_MS, 0);
-	json_writer_int(builder, "longest_pause_ms",
-			route->longest_pause_us / US_PER_MS, 0);
+	json_writer_add_nonempty(builder, "name", route->name);
+	json_writer_add_nonempty(builder, "host", route->host);
+	json_writer_add_nonempty(builder, "path_prefix", route->path_prefix);
+	json_writer_add_nonempty(builder, "kind", route_kind_name(route->kind));
+	json_writer_add_if_true(builder, "public", route->is_public);
+	json_writer_add_nondefault(builder, "priority", route->priority, 0);
+	json_writer_add_nondefault(builder, "max_attempts", route->max_attempts,
+				   1);
+	json_writer_add_nondefault(builder, "timeout_ms",
+				   route->timeout_us / US_PER_MS, 30000);
+	json_writer_add_nondefault(builder, "first_answer_ms",
+				   route->first_answer_us / US_PER_MS, 0);
+	json_writer_add_nondefault(builder, "longest_pause_ms",
+				   route->longest_pause_us / US_PER_MS, 0);
 	format_targets(builder, route);
 	json_builder_end_object(builder);
 }
@@ -197,7 +199,7 @@
 
 	if (!json_fields_begin(&fields, node, STEP, error, "callers."))
 		return false;
-	json_fields_allow(&fields, names);
+	json_fields_allow_only(&fields, names);
 	limits->header_bytes =
 		json_fields_int(&fields, "header_bytes", MIN_HEADER_BYTES,
 				MAX_HEADER_BYTES, limits->header_bytes);
@@ -217,11 +219,13 @@
 			       const struct caller_limits *limits)
 {
 	json_writer_begin_object(builder, "callers");
-	json_writer_int(builder, "header_bytes", limits->header_bytes, -1);
-	json_writer_int(builder, "body_bytes", limits->body_bytes, -1);
-	json_writer_int(builder, "header_timeout_ms",
-			limits->header_timeout_us / US_PER_MS, -1);
-	json_writer_int(builder, "idle_timeout_ms",
-			limits->idle_timeout_us / US_PER_MS, -1);
+	json_writer_add_nondefault(builder, "header_bytes",
+				   limits->header_bytes, -1);
+	json_writer_add_nondefault(builder, "body_bytes", limits->body_bytes,
+				   -1);
+	json_writer_add_nondefault(builder, "header_timeout_ms",
+				   limits->header_timeout_us / US_PER_MS, -1);
+	json_writer_add_nondefault(builder, "idle_timeout_ms",
+				   limits->idle_timeout_us / US_PER_MS, -1);
 	json_builder_end_object(builder);
 }
--- a/core/gateway/drain.c
+++ b/core/gateway/drain.c
@@ -17,8 +17,8 @@
  * Whether a request that arrives drained_us after the start of the drain is
  * served. timeout_us is the time after which the process would be killed.
  */
-bool drain_may_begin(enum route_kind kind, int64_t drained_us,
-		     int64_t timeout_us)
+bool drain_allows_request(enum route_kind kind, int64_t drained_us,
+			  int64_t timeout_us)
 {
 	if (kind == ROUTE_STREAM && drained_us > STREAM_CUTOFF_US)
 		return false;
--- a/core/gateway/endpoint_choice.c
+++ b/core/gateway/endpoint_choice.c
@@ -51,7 +51,7 @@
  */
 #define DRAW_WEIGHT 0.05
 
-static bool is_avoided(const struct endpoint_wish *criteria,
+static bool is_avoided(const struct endpoint_criteria *criteria,
 		       const struct endpoint *endpoint)
 {
 	for (guint i = 0; criteria->avoid && i < criteria->avoid->len; i++) {
@@ -59,10 +59,10 @@
 			   endpoint->said->id) == 0)
 			return true;
 	}
-	return g_strcmp0(criteria->avoid_also, endpoint->said->id) == 0;
+	return g_strcmp0(criteria->avoid_id, endpoint->said->id) == 0;
 }
 
-static bool is_candidate(const struct endpoint_wish *criteria,
+static bool is_candidate(const struct endpoint_criteria *criteria,
 			 const struct endpoint *endpoint)
 {
 	return endpoint_is_usable(endpoint) &&
@@ -70,7 +70,7 @@
 	       !is_avoided(criteria, endpoint);
 }
 
-static bool is_full(const struct endpoint_wish *criteria,
+static bool is_full(const struct endpoint_criteria *criteria,
 		    const struct endpoint *endpoint)
 {
 	return endpoint->full_until_us > criteria->now_us;
@@ -100,8 +100,8 @@
  * engine after the other refuses them, and they are cut off. The caller of a
  * new request can retry it; a half-finished report can't be retried.
  */
-static double leaving_share(const struct endpoint_wish *criteria, guint usable,
-			    double leaving_tokens)
+static double leaving_share(const struct endpoint_criteria *criteria,
+			    guint usable, double leaving_tokens)
 {
 	if (!criteria->engine || criteria->engine->memory_tokens == 0 ||
 	    usable == 0)
@@ -121,8 +121,9 @@
 	return aside <= MAX(usable / MAX_ASIDE_DIVISOR, 1);
 }
 
-static struct summary service_summarise(const struct registry *registry,
-					const struct endpoint_wish *criteria)
+static struct summary
+service_summarise(const struct registry *registry,
+		  const struct endpoint_criteria *criteria)
 {
 	const GPtrArray *endpoints = registry_endpoints(registry);
 	guint usable = 0, aside = 0;
@@ -139,8 +140,8 @@
 			continue;
 		}
 		usable++;
-		aside += !endpoint_word_allows(&endpoint->word,
-					       criteria->now_us);
+		aside += !endpoint_suspicion_allows(&endpoint->word,
+						    criteria->now_us);
 	}
 	return (struct summary){
 		.leaving_share =
@@ -149,16 +150,16 @@
 	};
 }
 
-static bool looks_healthy(const struct endpoint_wish *criteria,
+static bool looks_healthy(const struct endpoint_criteria *criteria,
 			  const struct endpoint *endpoint,
 			  const struct summary *summary)
 {
 	return endpoint_health_allows(&endpoint->health) &&
 	       (!summary->use_notices ||
-		endpoint_word_allows(&endpoint->word, criteria->now_us));
+		endpoint_suspicion_allows(&endpoint->word, criteria->now_us));
 }
 
-static double slot_count(const struct endpoint_wish *criteria,
+static double slot_count(const struct endpoint_criteria *criteria,
 			 const struct endpoint *endpoint)
 {
 	int32_t slots = endpoint->said->slots;
@@ -168,14 +169,14 @@
 	return MAX(slots, 1);
 }
 
-static double slot_load(const struct endpoint_wish *criteria,
+static double slot_load(const struct endpoint_criteria *criteria,
 			const struct endpoint *endpoint)
 {
 	return endpoint_held(endpoint).requests /
 	       slot_count(criteria, endpoint);
 }
 
-static double memory_load(const struct endpoint_wish *criteria,
+static double memory_load(const struct endpoint_criteria *criteria,
 			  const struct endpoint *endpoint)
 {
 	if (!criteria->engine || criteria->engine->memory_tokens == 0)
@@ -184,7 +185,7 @@
 	       (double)criteria->engine->memory_tokens;
 }
 
-static double endpoint_score(const struct endpoint_wish *criteria,
+static double endpoint_score(const struct endpoint_criteria *criteria,
 			     const struct endpoint *endpoint, guint i)
 {
 	double score = memory_load(criteria, endpoint) +
@@ -201,7 +202,7 @@
 	return score + DRAW_WEIGHT * (draw - (double)(int64_t)draw);
 }
 
-static bool has_room(const struct endpoint_wish *criteria,
+static bool has_room(const struct endpoint_criteria *criteria,
 		     const struct endpoint *endpoint, double fill)
 {
 	if (!criteria->engine || criteria->engine->slots == 0)
@@ -211,7 +212,7 @@
 }
 
 static struct endpoint *choose_best(const struct registry *registry,
-				    const struct endpoint_wish *criteria,
+				    const struct endpoint_criteria *criteria,
 				    const struct summary *summary,
 				    bool healthy_only, double fill)
 {
@@ -245,7 +246,7 @@
  * The registry owns the endpoint.
  */
 struct endpoint *endpoint_choose(const struct registry *registry,
-				 const struct endpoint_wish *criteria)
+				 const struct endpoint_criteria *criteria)
 {
 	static const struct {
 		bool healthy_only;
@@ -273,8 +274,9 @@
  * Returns an engine with spare room for a generation whose engine is leaving,
  * or NULL if there is none. The registry owns the endpoint.
  */
-struct endpoint *endpoint_choose_rescue(const struct registry *registry,
-					const struct endpoint_wish *criteria)
+struct endpoint *
+endpoint_choose_for_move(const struct registry *registry,
+			 const struct endpoint_criteria *criteria)
 {
 	const struct summary summary = service_summarise(registry, criteria);
 
@@ -286,8 +288,9 @@
  * if there is none or the engines can't keep backups. The ids to avoid must
  * include the engine that runs the generation. The registry owns the endpoint.
  */
-struct endpoint *endpoint_choose_backup(const struct registry *registry,
-					const struct endpoint_wish *criteria)
+struct endpoint *
+endpoint_choose_backup(const struct registry *registry,
+		       const struct endpoint_criteria *criteria)
 {
 	const struct summary summary = service_summarise(registry, criteria);
 
--- a/core/gateway/endpoint_choice.h
+++ b/core/gateway/endpoint_choice.h
@@ -15,24 +15,26 @@
  * backup of its generation. Each node decides by itself, from its own load and
  * the load that the other nodes announced a quarter of a second ago.
  */
-struct endpoint_wish {
+struct endpoint_criteria {
 	const char *service;
-	const struct engine_ability *engine; /* slots 0: a plain service */
-	const char *failure_domain;	     /* the preferred one */
+	const struct engine_capabilities *engine; /* slots 0: a plain service */
+	const char *failure_domain;		  /* the preferred one */
 	double far_weight;	/* penalty of another one; 0: default */
 	const GPtrArray *avoid; /* char *: endpoint ids, or NULL */
-	const char *avoid_also; /* one more endpoint id, or NULL */
+	const char *avoid_id;	/* one more endpoint id, or NULL */
 	int64_t tokens; /* in memory at the expected end; 0: plain service */
 	int64_t now_us;
 	double draw; /* random, in [0, 1) */
 };
 
 struct endpoint *endpoint_choose(const struct registry *registry,
-				 const struct endpoint_wish *criteria);
-struct endpoint *endpoint_choose_rescue(const struct registry *registry,
-					const struct endpoint_wish *criteria);
-struct endpoint *endpoint_choose_backup(const struct registry *registry,
-					const struct endpoint_wish *criteria);
+				 const struct endpoint_criteria *criteria);
+struct endpoint *
+endpoint_choose_for_move(const struct registry *registry,
+			 const struct endpoint_criteria *criteria);
+struct endpoint *
+endpoint_choose_backup(const struct registry *registry,
+		       const struct endpoint_criteria *criteria);
 
 G_END_DECLS
 
--- a/core/gateway/endpoint_word.c
+++ b/core/gateway/endpoint_word.c
@@ -9,20 +9,21 @@
 /* For this long after the endpoint returns, one node's notice is enough. */
 #define RELAPSE_WINDOW_US (5 * G_USEC_PER_SEC)
 
-static bool is_relapse(const struct endpoint_word *suspicion, int64_t now_us)
+static bool is_relapse(const struct endpoint_suspicion *suspicion,
+		       int64_t now_us)
 {
 	return suspicion->aside_us > 0 &&
 	       now_us - suspicion->until_us < RELAPSE_WINDOW_US;
 }
 
-static bool is_agreed(const struct endpoint_word *suspicion, uint64_t reporter,
-		      int64_t now_us)
+static bool is_agreed(const struct endpoint_suspicion *suspicion,
+		      uint64_t reporter, int64_t now_us)
 {
 	return suspicion->reporter && suspicion->reporter != reporter &&
 	       now_us - suspicion->reported_us < AGREEMENT_WINDOW_US;
 }
 
-static void put_aside(struct endpoint_word *suspicion, int64_t now_us)
+static void put_aside(struct endpoint_suspicion *suspicion, int64_t now_us)
 {
 	suspicion->aside_us =
 		is_relapse(suspicion, now_us)
@@ -37,8 +38,8 @@
  * Returns true if this puts the endpoint aside. Notices are ignored while it is
  * aside, since they concern requests sent before that.
  */
-bool endpoint_word_take(struct endpoint_word *suspicion, uint64_t reporter,
-			int64_t now_us)
+bool endpoint_suspicion_add_notice(struct endpoint_suspicion *suspicion,
+				   uint64_t reporter, int64_t now_us)
 {
 	if (now_us < suspicion->until_us)
 		return false;
@@ -53,7 +54,8 @@
 }
 
 /* Whether the endpoint may get new requests, as far as notices count. */
-bool endpoint_word_allows(const struct endpoint_word *suspicion, int64_t now_us)
+bool endpoint_suspicion_allows(const struct endpoint_suspicion *suspicion,
+			       int64_t now_us)
 {
 	return now_us >= suspicion->until_us;
 }
--- a/core/gateway/endpoint_word.h
+++ b/core/gateway/endpoint_word.h
@@ -16,17 +16,17 @@
  * Two nodes must agree, since a single node may itself be cut off from the
  * endpoint.
  */
-struct endpoint_word {
+struct endpoint_suspicion {
 	uint64_t reporter; /* node of the last notice; 0: none */
 	int64_t reported_us;
 	int64_t until_us; /* no new requests before this */
 	int64_t aside_us; /* length of the last time aside */
 };
 
-bool endpoint_word_take(struct endpoint_word *suspicion, uint64_t reporter,
-			int64_t now_us);
-bool endpoint_word_allows(const struct endpoint_word *suspicion,
-			  int64_t now_us);
+bool endpoint_suspicion_add_notice(struct endpoint_suspicion *suspicion,
+				   uint64_t reporter, int64_t now_us);
+bool endpoint_suspicion_allows(const struct endpoint_suspicion *suspicion,
+			       int64_t now_us);
 
 G_END_DECLS
 
--- a/core/gateway/engine_grants.c
+++ b/core/gateway/engine_grants.c
@@ -106,8 +106,8 @@
  * Removes the node's grants up to the request with number answered: the load
  * that the node announces includes them now, so they would count twice.
  */
-void engine_grants_told(struct engine_grants *grants, const char *node,
-			uint64_t answered)
+void engine_grants_confirm(struct engine_grants *grants, const char *node,
+			   uint64_t answered)
 {
 	for (guint i = grants->entries->len; i-- > 0;) {
 		const struct entry *entry =
@@ -119,7 +119,7 @@
 }
 
 /* Removes grants that their nodes have not confirmed in time. */
-void engine_grants_step(struct engine_grants *grants, int64_t now_us)
+void engine_grants_expire(struct engine_grants *grants, int64_t now_us)
 {
 	for (guint i = grants->entries->len; i-- > 0;) {
 		const struct entry *entry =
--- a/core/gateway/engine_grants.h
+++ b/core/gateway/engine_grants.h
@@ -34,9 +34,9 @@
 void engine_grants_destroy(struct engine_grants *grants);
 void engine_grants_add(struct engine_grants *grants,
 		       const struct engine_grant *grant, int64_t now_us);
-void engine_grants_told(struct engine_grants *grants, const char *node,
-			uint64_t answered);
-void engine_grants_step(struct engine_grants *grants, int64_t now_us);
+void engine_grants_confirm(struct engine_grants *grants, const char *node,
+			   uint64_t answered);
+void engine_grants_expire(struct engine_grants *grants, int64_t now_us);
 
 G_END_DECLS
 
--- a/core/gateway/evacuation.c
+++ b/core/gateway/evacuation.c
@@ -75,7 +75,7 @@
 	[EVACUATION_DROP_COPY] = "drop_copy",
 	[EVACUATION_ASK_COPY] = "ask_copy",
 	[EVACUATION_ASK_BACKUP] = "ask_backup",
-	[EVACUATION_LET_OLD_GO] = "let_old_go",
+	[EVACUATION_RELEASE_OLD] = "let_old_go",
 	[EVACUATION_DROP_ASKED] = "drop_asked",
 	[EVACUATION_GIVE_UP] = "give_up",
 };
@@ -89,7 +89,7 @@
 {
 	if (input->asked_us <= OVERLAP_US)
 		return EVACUATION_STAY;
-	return input->asked_is_connected ? EVACUATION_LET_OLD_GO
+	return input->asked_is_connected ? EVACUATION_RELEASE_OLD
 					 : EVACUATION_DROP_ASKED;
 }
 
@@ -112,10 +112,10 @@
 	case COPY_NONE:
 		return wants_copy(input) ? EVACUATION_BEGIN_COPY
 					 : EVACUATION_STAY;
-	case COPY_UNDER_WAY:
+	case COPY_IN_PROGRESS:
 		return input->copy_us > COPY_TIMEOUT_US ? EVACUATION_DROP_COPY
 							: EVACUATION_STAY;
-	case COPY_WHOLE:
+	case COPY_COMPLETE:
 		if (!input->target_serves)
 			return EVACUATION_DROP_COPY;
 		return input->budget_left &&
@@ -169,7 +169,7 @@
 		return false;
 	if (input->has_begun)
 		return input->begun_us >= BACKUP_EARLIEST_US;
-	return !input->broke_off && input->silent_us >= BACKUP_UNSEEN_US;
+	return !input->failed_in_reach && input->silent_us >= BACKUP_UNSEEN_US;
 }
 
 static enum evacuation decide_backup(const struct evacuation_input *input)
@@ -189,7 +189,7 @@
 enum evacuation evacuation_decide(const struct evacuation_input *input)
 {
 	bool has_copy =
-		input->copy == COPY_UNDER_WAY || input->copy == COPY_WHOLE;
+		input->copy == COPY_IN_PROGRESS || input->copy == COPY_COMPLETE;
 
 	if (input->is_asked)
 		return decide_asked(input);
@@ -205,7 +205,7 @@
  */
 enum evacuation_source evacuation_source(const struct evacuation_input *input)
 {
-	if (input->copy == COPY_WHOLE && input->target_serves)
+	if (input->copy == COPY_COMPLETE && input->target_serves)
 		return EVACUATION_FROM_COPY;
 	return backup_may_exist(input) ? EVACUATION_FROM_BACKUP
 				       : EVACUATION_FROM_NOTHING;
--- a/core/gateway/evacuation.h
+++ b/core/gateway/evacuation.h
@@ -18,19 +18,19 @@
 /* State of the copy that an engine under notice makes. */
 enum evacuation_copy {
 	COPY_NONE,
-	COPY_UNDER_WAY,
-	COPY_WHOLE, /* complete, waits for a good moment to move */
+	COPY_IN_PROGRESS,
+	COPY_COMPLETE, /* complete, waits for a good moment to move */
 	COPY_GIVEN_UP
 };
 
 struct evacuation_input {
 	int64_t under_notice_us; /* since the engine's notice; 0: none */
-	int64_t silent_us; /* since the last event, or since it was sent */
-	bool has_begun;	   /* the engine has sent an event */
-	int64_t begun_us;  /* since the first event of this engine */
-	bool ends_in_time; /* expected to end before its engine */
-	bool budget_left;  /* a retry is left to ask another engine */
-	bool broke_off;	   /* the engine failed while it was in reach */
+	int64_t silent_us;    /* since the last event, or since it was sent */
+	bool has_begun;	      /* the engine has sent an event */
+	int64_t begun_us;     /* since the first event of this engine */
+	bool ends_in_time;    /* expected to end before its engine */
+	bool budget_left;     /* a retry is left to ask another engine */
+	bool failed_in_reach; /* the engine failed while it was in reach */
 
 	bool has_backup; /* at a serving engine, not known to be missing */
 	bool backup_reads_prompts;
@@ -49,13 +49,13 @@
 
 enum evacuation {
 	EVACUATION_STAY,
-	EVACUATION_BEGIN_COPY, /* the engine copies the run to another one */
-	EVACUATION_DROP_COPY,  /* it timed out, or its target is gone */
-	EVACUATION_ASK_COPY,   /* ask the target to continue from the copy */
-	EVACUATION_ASK_BACKUP, /* ask an engine to continue from the backup */
-	EVACUATION_LET_OLD_GO, /* the asked engine takes the run over */
-	EVACUATION_DROP_ASKED, /* it is out of reach: the old one continues */
-	EVACUATION_GIVE_UP     /* the engine is silent and counts as failed */
+	EVACUATION_BEGIN_COPY,	/* the engine copies the run to another one */
+	EVACUATION_DROP_COPY,	/* it timed out, or its target is gone */
+	EVACUATION_ASK_COPY,	/* ask the target to continue from the copy */
+	EVACUATION_ASK_BACKUP,	/* ask an engine to continue from the backup */
+	EVACUATION_RELEASE_OLD, /* the asked engine takes the run over */
+	EVACUATION_DROP_ASKED,	/* it is out of reach: the old one continues */
+	EVACUATION_GIVE_UP	/* the engine is silent and counts as failed */
 };
 
 /* What a run continues from when its engine is lost. */
--- a/core/gateway/newcomer.c
+++ b/core/gateway/newcomer.c
@@ -8,7 +8,7 @@
  * number of nodes that receive messages of the new one, including this node;
  * draw is uniformly random in [0, 1).
  */
-bool newcomer_is_told(size_t others, double draw)
+bool join_sync_is_sender(size_t others, double draw)
 {
 	return draw * (double)others < MEAN_SENDERS;
 }
--- a/core/gateway/newcomer.h
+++ b/core/gateway/newcomer.h
@@ -13,7 +13,7 @@
  * nodes sent the list, some 9 KB each, the new node would read nothing else for
  * a second, and after a loss of power all nodes start at once.
  */
-bool newcomer_is_told(size_t others, double draw);
+bool join_sync_is_sender(size_t others, double draw);
 
 G_END_DECLS
 
--- a/core/gateway/recovery.c
+++ b/core/gateway/recovery.c
@@ -16,7 +16,7 @@
 static const char *const recovery_names[] = {
 	[RECOVERY_SEND_AGAIN] = "send_again",
 	[RECOVERY_TAKE_OVER] = "take_over",
-	[RECOVERY_PASS_ON] = "pass_on",
+	[RECOVERY_FORWARD] = "pass_on",
 	[RECOVERY_REFUSE] = "refuse",
 	[RECOVERY_FAIL] = "fail",
 	[RECOVERY_BREAK] = "break",
@@ -44,7 +44,7 @@
 		return input->runs == 0 ? RECOVERY_REFUSE : RECOVERY_FAIL;
 	case RESULT_ERROR:
 		return may_run_again(input) ? RECOVERY_SEND_AGAIN
-					    : RECOVERY_PASS_ON;
+					    : RECOVERY_FORWARD;
 	case RESULT_SLOW:
 	case RESULT_BROKEN:
 		if (input->kind == ROUTE_STREAM && input->copy_is_ready &&
--- a/core/gateway/recovery.h
+++ b/core/gateway/recovery.h
@@ -39,7 +39,7 @@
 enum recovery {
 	RECOVERY_SEND_AGAIN, /* as a new run elsewhere */
 	RECOVERY_TAKE_OVER,  /* continue the same run from the copy */
-	RECOVERY_PASS_ON,    /* forward the endpoint's own answer */
+	RECOVERY_FORWARD,    /* forward the endpoint's own answer */
 	RECOVERY_REFUSE,     /* it has not run: the caller may retry */
 	RECOVERY_FAIL,	     /* it may have run: the outcome is unknown */
 	RECOVERY_BREAK	     /* cut off the answer so that the caller sees it */
--- a/core/gateway/registry.c
+++ b/core/gateway/registry.c
@@ -88,13 +88,13 @@
  * that it kept: asked to continue from such a copy, it has to refuse, or it
  * starts the run from the beginning.
  */
-bool endpoint_keeps_since(const struct endpoint *endpoint, int64_t known_us)
+bool endpoint_is_same_start(const struct endpoint *endpoint, int64_t known_us)
 {
 	return endpoint_is_usable(endpoint) && endpoint->known_us == known_us;
 }
 
 /* Whether the endpoint has requests, of any node, without an answer so far. */
-bool endpoint_reads_prompts(const struct endpoint *endpoint)
+bool endpoint_has_unread_prompts(const struct endpoint *endpoint)
 {
 	return endpoint_held(endpoint).unread_tokens > 0;
 }
@@ -111,8 +111,8 @@
 }
 
 /* Returns the number of the service's endpoints that may get new requests. */
-size_t registry_ready_count(const struct registry *registry,
-			    const char *service)
+size_t registry_count_usable(const struct registry *registry,
+			     const char *service)
 {
 	size_t count = 0;
 
@@ -157,7 +157,7 @@
 	endpoint->said = registration_copy(update);
 	endpoint->since_us = now_us;
 	endpoint->known_us = now_us;
-	endpoint->warm_us = now_us + update->warmup_left_us;
+	endpoint->warm_us = now_us + update->warmup_remaining_us;
 	endpoint_health_init(&endpoint->health);
 	g_ptr_array_add(registry->endpoints, endpoint);
 	g_hash_table_insert(registry->by_id, endpoint->said->id, endpoint);
@@ -183,10 +183,10 @@
 			     const struct registration *update, int64_t now_us)
 {
 	endpoint_health_init(&endpoint->health);
-	endpoint->word = (struct endpoint_word){0};
+	endpoint->word = (struct endpoint_suspicion){0};
 	endpoint->known_us = now_us;
 	endpoint->full_until_us = 0;
-	endpoint->warm_us = now_us + update->warmup_left_us;
+	endpoint->warm_us = now_us + update->warmup_remaining_us;
 }
 
 static bool registry_apply_removal(struct endpoint *endpoint, bool is_doubtful,
@@ -218,8 +218,9 @@
  * store was away: the endpoint stays in use until registry_step treats it as
  * gone. Returns whether the endpoint is new or its presence changed.
  */
-bool registry_take(struct registry *registry, const struct registration *update,
-		   bool is_doubtful, int64_t now_us)
+bool registry_apply(struct registry *registry,
+		    const struct registration *update, bool is_doubtful,
+		    int64_t now_us)
 {
 	struct endpoint *endpoint = registry_find(registry, update->id);
 	enum endpoint_presence old_presence;
@@ -277,9 +278,9 @@
  * lacks were removed, unless they are newer. Appends the ids of changed
  * endpoints to changed, which owns them.
  */
-void registry_take_all(struct registry *registry, const GPtrArray *list,
-		       int64_t revision, bool is_doubtful, int64_t now_us,
-		       GPtrArray *changed)
+void registry_apply_listing(struct registry *registry, const GPtrArray *list,
+			    int64_t revision, bool is_doubtful, int64_t now_us,
+			    GPtrArray *changed)
 {
 	GHashTable *listed = g_hash_table_new(g_str_hash, g_str_equal);
 
@@ -287,7 +288,7 @@
 		const struct registration *said = g_ptr_array_index(list, i);
 
 		g_hash_table_add(listed, said->id);
-		if (registry_take(registry, said, false, now_us))
+		if (registry_apply(registry, said, false, now_us))
 			g_ptr_array_add(changed, g_strdup(said->id));
 	}
 	for (guint i = 0; i < registry->endpoints->len; i++) {
--- a/core/gateway/registry.h
+++ b/core/gateway/registry.h
@@ -43,8 +43,8 @@
 	struct held own;     /* load of this node */
 	struct held others;  /* announced by all other nodes */
 	struct held granted; /* granted by this node, unconfirmed */
-	struct endpoint_health health; /* by requests of this node */
-	struct endpoint_word word;     /* by notices of all nodes */
+	struct endpoint_health health;	/* by requests of this node */
+	struct endpoint_suspicion word; /* by notices of all nodes */
 	int64_t full_until_us; /* it refused a request for lack of room */
 	double error_share;    /* of its last answers, moving average */
 };
@@ -54,11 +54,12 @@
 struct registry *registry_create(void);
 void registry_destroy(struct registry *registry);
 
-bool registry_take(struct registry *registry, const struct registration *update,
-		   bool is_doubtful, int64_t now_us);
-void registry_take_all(struct registry *registry, const GPtrArray *list,
-		       int64_t revision, bool is_doubtful, int64_t now_us,
-		       GPtrArray *changed);
+bool registry_apply(struct registry *registry,
+		    const struct registration *update, bool is_doubtful,
+		    int64_t now_us);
+void registry_apply_listing(struct registry *registry, const GPtrArray *list,
+			    int64_t revision, bool is_doubtful, int64_t now_us,
+			    GPtrArray *changed);
 void registry_step(struct registry *registry, int64_t doubted_before_us,
 		   int64_t now_us, GPtrArray *changed);
 
@@ -69,17 +70,17 @@
 struct endpoint *registry_find(struct registry *registry, const char *id);
 const GPtrArray *registry_endpoints(const struct registry *registry);
 bool registry_has_usable(const struct registry *registry);
-size_t registry_ready_count(const struct registry *registry,
-			    const char *service);
+size_t registry_count_usable(const struct registry *registry,
+			     const char *service);
 
-void registry_take_held(struct registry *registry, const char *node,
-			uint64_t incarnation, const GArray *held,
-			int64_t now_us);
-void registry_forget_silent(struct registry *registry, int64_t before_us);
+void registry_set_node_held(struct registry *registry, const char *node,
+			    uint64_t incarnation, const GArray *held,
+			    int64_t now_us);
+void registry_expire_nodes(struct registry *registry, int64_t before_us);
 struct held endpoint_held(const struct endpoint *endpoint);
 bool endpoint_is_usable(const struct endpoint *endpoint);
-bool endpoint_keeps_since(const struct endpoint *endpoint, int64_t known_us);
-bool endpoint_reads_prompts(const struct endpoint *endpoint);
+bool endpoint_is_same_start(const struct endpoint *endpoint, int64_t known_us);
+bool endpoint_has_unread_prompts(const struct endpoint *endpoint);
 void endpoint_count_answer(struct endpoint *endpoint, bool is_error);
 
 G_END_DECLS
--- a/core/gateway/registry_held.c
+++ b/core/gateway/registry_held.c
@@ -97,9 +97,9 @@
  * Replaces the load of another node. held has a struct peer_held for every
  * endpoint that the node uses; it is copied.
  */
-void registry_take_held(struct registry *registry, const char *name,
-			uint64_t incarnation, const GArray *held,
-			int64_t now_us)
+void registry_set_node_held(struct registry *registry, const char *name,
+			    uint64_t incarnation, const GArray *held,
+			    int64_t now_us)
 {
 	struct holder_node *node = g_hash_table_lookup(registry->nodes, name);
 
@@ -119,7 +119,7 @@
 }
 
 /* Removes the load of nodes that have announced nothing since before_us. */
-void registry_forget_silent(struct registry *registry, int64_t before_us)
+void registry_expire_nodes(struct registry *registry, int64_t before_us)
 {
 	GHashTableIter iter;
 	gpointer value;
--- a/core/gateway/standing_pace.c
+++ b/core/gateway/standing_pace.c
@@ -12,9 +12,9 @@
 #define RECORDS_PER_S 75.0
 
 /* Starts with a full bucket; the first round is due at once. */
-void standing_pace_init(struct standing_pace *pace, int64_t now_us)
+void announce_pace_init(struct announce_pace *pace, int64_t now_us)
 {
-	*pace = (struct standing_pace){
+	*pace = (struct announce_pace){
 		.next_round_us = now_us,
 		.refilled_us = now_us,
 		.records = RECORDS_PER_S,
@@ -25,7 +25,7 @@
  * Returns the longest time between two rounds in steady state, in us, with this
  * number of other nodes.
  */
-int64_t standing_pace_period_us(size_t others)
+int64_t announce_pace_period_us(size_t others)
 {
 	int64_t bound_us =
 		(int64_t)((double)others * G_USEC_PER_SEC / RECORDS_PER_S);
@@ -33,7 +33,7 @@
 	return MAX(ROUND_INTERVAL_US, bound_us);
 }
 
-static void refill(struct standing_pace *pace, size_t others, int64_t now_us)
+static void refill(struct announce_pace *pace, size_t others, int64_t now_us)
 {
 	double capacity = MAX(RECORDS_PER_S, (double)others);
 	double passed_s =
@@ -47,7 +47,7 @@
  * Whether a round to the other nodes is due now; true counts it as sent. A
  * change brings the next round forward as far as the bound allows.
  */
-bool standing_pace_is_due(struct standing_pace *pace, size_t others,
+bool announce_pace_is_due(struct announce_pace *pace, size_t others,
 			  bool changed, int64_t now_us)
 {
 	refill(pace, others, now_us);
--- a/core/gateway/standing_pace.h
+++ b/core/gateway/standing_pace.h
@@ -16,16 +16,16 @@
  * their processors on announcements, forward the output of engines late, and
  * the retries of callers keep the overload going.
  */
-struct standing_pace {
+struct announce_pace {
 	int64_t next_round_us; /* when the next round is due */
 	int64_t refilled_us;   /* when records were last added */
 	double records;	       /* that may be sent now, a token bucket */
 };
 
-void standing_pace_init(struct standing_pace *pace, int64_t now_us);
-bool standing_pace_is_due(struct standing_pace *pace, size_t others,
+void announce_pace_init(struct announce_pace *pace, int64_t now_us);
+bool announce_pace_is_due(struct announce_pace *pace, size_t others,
 			  bool changed, int64_t now_us);
-int64_t standing_pace_period_us(size_t others);
+int64_t announce_pace_period_us(size_t others);
 
 G_END_DECLS
 
--- a/core/gateway/store_doubt.c
+++ b/core/gateway/store_doubt.c
@@ -18,21 +18,22 @@
 #define RECENT_ANSWER_US (2000 * 1000)
 
 /* Records that the store may be away now, or was not reached yet. */
-void store_doubt_away(struct store_doubt *doubt, int64_t now_us)
+void store_doubt_store_lost(struct store_doubt *doubt, int64_t now_us)
 {
-	doubt->settles_us = now_us + (doubt->was_reached ? RENEWAL_GRACE_US
-							 : STARTUP_GRACE_US);
+	doubt->doubt_until_us =
+		now_us +
+		(doubt->was_reached ? RENEWAL_GRACE_US : STARTUP_GRACE_US);
 }
 
 /* Records that the store answers again, or for the first time. */
-void store_doubt_reached(struct store_doubt *doubt, int64_t now_us)
+void store_doubt_store_reached(struct store_doubt *doubt, int64_t now_us)
 {
-	store_doubt_away(doubt, now_us);
+	store_doubt_store_lost(doubt, now_us);
 	doubt->was_reached = true;
 }
 
 /* Records that the store answered a call of this node. */
-void store_doubt_answered(struct store_doubt *doubt, int64_t now_us)
+void store_doubt_store_answered(struct store_doubt *doubt, int64_t now_us)
 {
 	doubt->answered_us = now_us;
 }
@@ -44,30 +45,30 @@
  * more than this node's own answers, engines that had left stayed in use for as
  * long as the sentinel was cut off.
  */
-bool store_doubt_is_away(const struct store_doubt *doubt,
-			 const struct store_view *view, int64_t now_us)
+bool store_doubt_suspects_outage(const struct store_doubt *doubt,
+				 const struct store_view *view, int64_t now_us)
 {
 	if (!view->reaches_store)
 		return true;
-	return view->sentinel_waits && !view->sentinel_reaches &&
+	return view->sentinel_lost_store && !view->sentinel_reaches_store &&
 	       now_us - doubt->answered_us >= RECENT_ANSWER_US;
 }
 
 /* Extends the doubt if the store may be away according to this view. */
-void store_doubt_take(struct store_doubt *doubt, const struct store_view *view,
-		      int64_t now_us)
+void store_doubt_update(struct store_doubt *doubt,
+			const struct store_view *view, int64_t now_us)
 {
 	if (!view->reaches_store)
-		store_doubt_away(doubt, now_us);
-	else if (store_doubt_is_away(doubt, view, now_us))
-		doubt->settles_us =
-			MAX(doubt->settles_us, now_us + STARTUP_GRACE_US);
+		store_doubt_store_lost(doubt, now_us);
+	else if (store_doubt_suspects_outage(doubt, view, now_us))
+		doubt->doubt_until_us =
+			MAX(doubt->doubt_until_us, now_us + STARTUP_GRACE_US);
 }
 
 /* Whether a removal that arrives now may be an expiry due to an outage. */
-bool store_doubt_stands(const struct store_doubt *doubt, int64_t now_us)
+bool store_doubt_is_active(const struct store_doubt *doubt, int64_t now_us)
 {
-	return now_us < doubt->settles_us;
+	return now_us < doubt->doubt_until_us;
 }
 
 /*
@@ -77,10 +78,10 @@
  * own, an endpoint that left just before the end would stay in use long after
  * all other nodes gave it up.
  */
-int64_t store_doubt_over_before_us(const struct store_doubt *doubt,
-				   int64_t now_us)
+int64_t store_doubt_ended_before_us(const struct store_doubt *doubt,
+				    int64_t now_us)
 {
-	if (store_doubt_stands(doubt, now_us))
+	if (store_doubt_is_active(doubt, now_us))
 		return INT64_MIN;
-	return MAX(doubt->settles_us, now_us - RENEWAL_GRACE_US);
+	return MAX(doubt->doubt_until_us, now_us - RENEWAL_GRACE_US);
 }
--- a/core/gateway/store_doubt.h
+++ b/core/gateway/store_doubt.h
@@ -14,9 +14,9 @@
  * gone would refuse every request.
  */
 struct store_doubt {
-	bool was_reached;    /* by this process, at any time */
-	int64_t settles_us;  /* entries still missing then are gone */
-	int64_t answered_us; /* when a call of this node was last answered */
+	bool was_reached;	/* by this process, at any time */
+	int64_t doubt_until_us; /* entries still missing then are gone */
+	int64_t answered_us;	/* when a call of this node was last answered */
 };
 
 /*
@@ -24,22 +24,23 @@
  * nodes.
  */
 struct store_view {
-	bool reaches_store;    /* this node does */
-	bool sentinel_reaches; /* any sentinel does */
-	bool sentinel_waits;   /* a sentinel announces that it lost the store */
+	bool reaches_store;	     /* this node does */
+	bool sentinel_reaches_store; /* any sentinel does */
+	bool sentinel_lost_store; /* a sentinel announces that it lost the store
+				   */
 };
 
-bool store_doubt_is_away(const struct store_doubt *doubt,
-			 const struct store_view *view, int64_t now_us);
-void store_doubt_answered(struct store_doubt *doubt, int64_t now_us);
-void store_doubt_take(struct store_doubt *doubt, const struct store_view *view,
-		      int64_t now_us);
-
-void store_doubt_away(struct store_doubt *doubt, int64_t now_us);
-void store_doubt_reached(struct store_doubt *doubt, int64_t now_us);
-bool store_doubt_stands(const struct store_doubt *doubt, int64_t now_us);
-int64_t store_doubt_over_before_us(const struct store_doubt *doubt,
-				   int64_t now_us);
+bool store_doubt_suspects_outage(const struct store_doubt *doubt,
+				 const struct store_view *view, int64_t now_us);
+void store_doubt_store_answered(struct store_doubt *doubt, int64_t now_us);
+void store_doubt_update(struct store_doubt *doubt,
+			const struct store_view *view, int64_t now_us);
+
+void store_doubt_store_lost(struct store_doubt *doubt, int64_t now_us);
+void store_doubt_store_reached(struct store_doubt *doubt, int64_t now_us);
+bool store_doubt_is_active(const struct store_doubt *doubt, int64_t now_us);
+int64_t store_doubt_ended_before_us(const struct store_doubt *doubt,
+				    int64_t now_us);
 
 G_END_DECLS
 
--- a/core/gateway/store_watch.c
+++ b/core/gateway/store_watch.c
@@ -8,7 +8,7 @@
 static bool sentinel_retries_store(const struct store_watch_input *input)
 {
 	return !input->is_sentinel && !input->reaches_store &&
-	       !input->sentinel_reaches && input->sentinel_waits;
+	       !input->sentinel_reaches_store && input->sentinel_lost_store;
 }
 
 /*
@@ -20,15 +20,15 @@
  */
 struct store_watch store_watch_decide(const struct store_watch_input *input)
 {
-	bool patiently = sentinel_retries_store(input);
-	bool is_informed = input->sentinel_reaches || patiently;
+	bool retries_seldom = sentinel_retries_store(input);
+	bool is_informed = input->sentinel_reaches_store || retries_seldom;
 	bool follows =
 		input->is_sentinel || !is_informed || !input->knows_endpoints;
 
 	return (struct store_watch){
 		.entries = follows,
 		.closely = follows,
-		.patiently = patiently,
+		.retries_seldom = retries_seldom,
 	};
 }
 
@@ -37,5 +37,5 @@
 			const struct store_watch *b)
 {
 	return a->entries == b->entries && a->closely == b->closely &&
-	       a->patiently == b->patiently;
+	       a->retries_seldom == b->retries_seldom;
 }
--- a/core/gateway/store_watch.h
+++ b/core/gateway/store_watch.h
@@ -12,18 +12,18 @@
  * makes grows with the number of nodes.
  */
 struct store_watch {
-	bool entries;	/* follows the endpoints' entries itself */
-	bool closely;	/* probes the store each second while it follows
-			   the entries */
-	bool patiently; /* retries seldom while the store is away */
+	bool entries;	     /* follows the endpoints' entries itself */
+	bool closely;	     /* probes the store each second while it follows
+				the entries */
+	bool retries_seldom; /* retries seldom while the store is away */
 };
 
 struct store_watch_input {
 	bool is_sentinel;
 	bool reaches_store;
-	bool sentinel_reaches; /* a sentinel heard recently does */
-	bool sentinel_waits;   /* a sentinel that is heard lost it */
-	bool knows_endpoints;  /* at least one serving endpoint */
+	bool sentinel_reaches_store; /* a sentinel heard recently does */
+	bool sentinel_lost_store;    /* a sentinel that is heard lost it */
+	bool knows_endpoints;	     /* at least one serving endpoint */
 };
 
 struct store_watch store_watch_decide(const struct store_watch_input *input);
--- a/core/gateway/table_fetch.c
+++ b/core/gateway/table_fetch.c
@@ -45,7 +45,8 @@
  * nodes ask the only one that has the configuration, their copies compete for
  * its link. A node that gets no copy asks another node.
  */
-bool table_offer_take(struct table_offer *limit, size_t bytes, int64_t now_us)
+bool table_copy_limit_take(struct table_copy_limit *limit, size_t bytes,
+			   int64_t now_us)
 {
 	if (now_us - limit->since_us >= COPY_WAIT_US) {
 		limit->since_us = now_us;
--- a/core/gateway/table_fetch.h
+++ b/core/gateway/table_fetch.h
@@ -36,12 +36,13 @@
 					 const struct table_fetch_input *input);
 
 /* Limits the bytes of copies that a node sends to others in a period. */
-struct table_offer {
+struct table_copy_limit {
 	int64_t since_us; /* start of the period */
 	size_t bytes;	  /* sent in the period */
 };
 
-bool table_offer_take(struct table_offer *limit, size_t bytes, int64_t now_us);
+bool table_copy_limit_take(struct table_copy_limit *limit, size_t bytes,
+			   int64_t now_us);
 
 G_END_DECLS
 
--- a/core/json/json_reader.c
+++ b/core/json/json_reader.c
@@ -206,7 +206,8 @@
 }
 
 /* Fails if the object has a member that is not in the NULL-terminated names. */
-void json_fields_allow(struct json_fields *fields, const char *const *names)
+void json_fields_allow_only(struct json_fields *fields,
+			    const char *const *names)
 {
 	GList *members;
 
--- a/core/json/json_reader.h
+++ b/core/json/json_reader.h
@@ -34,7 +34,8 @@
 		       const char *path_format, ...) G_GNUC_PRINTF(5, 6);
 void json_fields_fail(struct json_fields *fields, const char *name,
 		      const char *expected);
-void json_fields_allow(struct json_fields *fields, const char *const *names);
+void json_fields_allow_only(struct json_fields *fields,
+			    const char *const *names);
 bool json_fields_has(const struct json_fields *fields, const char *name);
 const char *json_fields_string(struct json_fields *fields, const char *name,
 			       size_t min_bytes, size_t max_bytes);
--- a/core/json/json_writer.c
+++ b/core/json/json_writer.c
@@ -3,37 +3,38 @@
 #include <string.h>
 
 /* Adds a string member, even if it is empty. */
-void json_writer_text(JsonBuilder *builder, const char *name, const char *value)
+void json_writer_add_string(JsonBuilder *builder, const char *name,
+			    const char *value)
 {
 	json_builder_set_member_name(builder, name);
 	json_builder_add_string_value(builder, value);
 }
 
 /* Adds an integer member. */
-void json_writer_number(JsonBuilder *builder, const char *name, int64_t value)
+void json_writer_add_int(JsonBuilder *builder, const char *name, int64_t value)
 {
 	json_builder_set_member_name(builder, name);
 	json_builder_add_int_value(builder, value);
 }
 
 /* Adds a string member unless the string is empty. */
-void json_writer_string(JsonBuilder *builder, const char *name,
-			const char *value)
+void json_writer_add_nonempty(JsonBuilder *builder, const char *name,
+			      const char *value)
 {
 	if (*value)
-		json_writer_text(builder, name, value);
+		json_writer_add_string(builder, name, value);
 }
 
 /* Adds an integer member unless it equals the default of a missing member. */
-void json_writer_int(JsonBuilder *builder, const char *name, int64_t value,
-		     int64_t default_value)
+void json_writer_add_nondefault(JsonBuilder *builder, const char *name,
+				int64_t value, int64_t default_value)
 {
 	if (value != default_value)
-		json_writer_number(builder, name, value);
+		json_writer_add_int(builder, name, value);
 }
 
 /* Adds a true member if value is true; otherwise adds nothing. */
-void json_writer_true(JsonBuilder *builder, const char *name, bool value)
+void json_writer_add_if_true(JsonBuilder *builder, const char *name, bool value)
 {
 	if (!value)
 		return;
@@ -59,7 +60,7 @@
  * Returns the text without white space, to be freed with g_free(). Drops the
  * reference to the builder.
  */
-char *json_writer_take_text(JsonBuilder *builder)
+char *json_writer_finish_text(JsonBuilder *builder)
 {
 	JsonNode *root = json_builder_get_root(builder);
 	char *text = json_to_string(root, FALSE);
@@ -70,9 +71,9 @@
 }
 
 /* Returns the text as bytes, which the caller owns, and drops the builder. */
-GBytes *json_writer_take(JsonBuilder *builder)
+GBytes *json_writer_finish(JsonBuilder *builder)
 {
-	char *text = json_writer_take_text(builder);
+	char *text = json_writer_finish_text(builder);
 
 	return g_bytes_new_take(text, strlen(text));
 }
--- a/core/lease/holder.c
+++ b/core/lease/holder.c
@@ -107,7 +107,7 @@
  * Stops holding the key, after an endpoint refused an order because it had
  * seen a higher fencing number. Starts over after one time to live at most.
  */
-void holder_drop(struct holder *holder, int64_t now_us)
+void holder_step_down(struct holder *holder, int64_t now_us)
 {
 	holder->kv_id = 0;
 	holder_set_idle(holder, now_us, ttl_us(holder));
@@ -141,8 +141,9 @@
 		      struct action_list *actions)
 {
 	if (holder->state == HOLDER_IDLE)
-		holder->state = holder->options.is_alone ? HOLDER_GRANTING
-							 : HOLDER_READING;
+		holder->state = holder->options.is_sole_claimant
+					? HOLDER_GRANTING
+					: HOLDER_READING;
 	switch (holder->state) {
 	case HOLDER_IDLE:
 		break;
--- a/core/lease/holder.h
+++ b/core/lease/holder.h
@@ -18,10 +18,10 @@
  */
 struct holder_options {
 	const char *key;
-	const char *name;     /* of this process; no earlier process used it */
-	bool is_alone;	      /* no other candidates: claims without a read */
-	uint64_t seed;	      /* of the jitter of retries */
-	uint64_t *next_kv_id; /* shared with the node's other calls */
+	const char *name;      /* of this process; no earlier process used it */
+	bool is_sole_claimant; /* no other candidates: claims without a read */
+	uint64_t seed;	       /* of the jitter of retries */
+	uint64_t *next_kv_id;  /* shared with the node's other calls */
 	struct counters *counters; /* may be NULL */
 	int64_t ttl_s;
 	int64_t margin_us; /* covers clocks that run at different speeds */
@@ -41,7 +41,7 @@
 int64_t holder_fence(const struct holder *holder);
 bool holder_may_act(const struct holder *holder, int64_t now_us,
 		    int64_t duration_us);
-void holder_drop(struct holder *holder, int64_t now_us);
+void holder_step_down(struct holder *holder, int64_t now_us);
 
 G_END_DECLS
 
--- a/core/limit/organisation_limits.c
+++ b/core/limit/organisation_limits.c
@@ -207,7 +207,7 @@
  * Returns the sorted names of the organisations that have something to report.
  * The caller frees the array; the names belong to the limits.
  */
-GPtrArray *organisation_limits_active(struct organisation_limits *limits)
+GPtrArray *organisation_limits_list_active(struct organisation_limits *limits)
 {
 	GPtrArray *names = g_ptr_array_new();
 	GHashTableIter iter;
@@ -225,10 +225,10 @@
 }
 
 /* Applies the share that the home has computed for this node. */
-void organisation_limits_take_share(struct organisation_limits *limits,
-				    const char *organisation,
-				    const struct peer_limit *share,
-				    int64_t now_us)
+void organisation_limits_apply_share(struct organisation_limits *limits,
+				     const char *organisation,
+				     const struct peer_limit *share,
+				     int64_t now_us)
 {
 	struct organisation_use *use = limits_ensure_use(limits, organisation);
 
--- a/core/limit/organisation_limits.h
+++ b/core/limit/organisation_limits.h
@@ -36,11 +36,11 @@
 void organisation_limits_report(struct organisation_limits *limits,
 				const char *organisation, int64_t now_us,
 				struct peer_limit *report);
-GPtrArray *organisation_limits_active(struct organisation_limits *limits);
-void organisation_limits_take_share(struct organisation_limits *limits,
-				    const char *organisation,
-				    const struct peer_limit *share,
-				    int64_t now_us);
+GPtrArray *organisation_limits_list_active(struct organisation_limits *limits);
+void organisation_limits_apply_share(struct organisation_limits *limits,
+				     const char *organisation,
+				     const struct peer_limit *share,
+				     int64_t now_us);
 
 /* Called on the home node. */
 void organisation_limits_divide(struct organisation_limits *limits,
--- a/core/limit/quarantine.c
+++ b/core/limit/quarantine.c
@@ -143,8 +143,8 @@
  * does, even those in quarantine: a generation may be continued elsewhere after
  * a second crash and then complete.
  */
-void quarantine_report_whole(struct quarantine *quarantine,
-			     uint64_t fingerprint)
+void quarantine_report_success(struct quarantine *quarantine,
+			       uint64_t fingerprint)
 {
 	entry_table_remove(&quarantine->suspects, fingerprint);
 	entry_table_remove(&quarantine->held, fingerprint);
--- a/core/limit/quarantine.h
+++ b/core/limit/quarantine.h
@@ -28,8 +28,8 @@
 bool quarantine_report_crash(struct quarantine *quarantine,
 			     uint64_t fingerprint, const char *endpoint,
 			     int64_t now_us);
-void quarantine_report_whole(struct quarantine *quarantine,
-			     uint64_t fingerprint);
+void quarantine_report_success(struct quarantine *quarantine,
+			       uint64_t fingerprint);
 void quarantine_hold(struct quarantine *quarantine, uint64_t fingerprint,
 		     int64_t now_us);
 
--- a/core/limit/retry_budget.c
+++ b/core/limit/retry_budget.c
@@ -42,7 +42,7 @@
 }
 
 /* Counts the first attempt of a call, which adds percent / 100 of a retry. */
-void retry_budget_count_first(struct retry_budget *budget)
+void retry_budget_count_request(struct retry_budget *budget)
 {
 	int64_t limit = (int64_t)budget->options.burst * RETRY_COST;
 
--- a/core/limit/retry_budget.h
+++ b/core/limit/retry_budget.h
@@ -26,7 +26,7 @@
 retry_budget_create(const struct retry_budget_options *options);
 void retry_budget_destroy(struct retry_budget *budget);
 
-void retry_budget_count_first(struct retry_budget *budget);
+void retry_budget_count_request(struct retry_budget *budget);
 bool retry_budget_take(struct retry_budget *budget);
 int64_t retry_budget_delay_us(const struct retry_budget *budget,
 			      int32_t retries, GRand *rand);
--- a/core/limit/retry_window.c
+++ b/core/limit/retry_window.c
@@ -58,7 +58,7 @@
 }
 
 /* Counts the first send of a request, which adds percent / 100 of a retry. */
-void retry_window_count_first(struct retry_window *window)
+void retry_window_count_request(struct retry_window *window)
 {
 	window->requests[window->slot % (SLOTS + 1)]++;
 }
@@ -69,7 +69,7 @@
  * requests do not, so that no window, wherever it begins, has more retries than
  * its requests allow.
  */
-int64_t retry_window_left(const struct retry_window *window)
+int64_t retry_window_remaining(const struct retry_window *window)
 {
 	int64_t oldest = (window->slot + 1) % (SLOTS + 1);
 	int64_t requests = 0, retries = 0;
@@ -86,7 +86,7 @@
 /* Takes one retry. Returns false if none remains; nothing may be resent. */
 bool retry_window_take(struct retry_window *window)
 {
-	if (retry_window_left(window) <= 0)
+	if (retry_window_remaining(window) <= 0)
 		return false;
 	window->retries[window->slot % (SLOTS + 1)]++;
 	return true;
--- a/core/limit/retry_window.h
+++ b/core/limit/retry_window.h
@@ -20,9 +20,9 @@
 void retry_window_set_limits(struct retry_window *window, int32_t percent,
 			     double extra);
 void retry_window_step(struct retry_window *window, int64_t now_us);
-void retry_window_count_first(struct retry_window *window);
+void retry_window_count_request(struct retry_window *window);
 bool retry_window_take(struct retry_window *window);
-int64_t retry_window_left(const struct retry_window *window);
+int64_t retry_window_remaining(const struct retry_window *window);
 
 G_END_DECLS
 
--- a/core/membership/membership.c
+++ b/core/membership/membership.c
@@ -313,7 +313,7 @@
  * removed, unless they had announced that they leave. For a node that knows no
  * others the result is the current time.
  */
-int64_t membership_quorum_heard_us(const struct membership *membership)
+int64_t membership_last_quorum_us(const struct membership *membership)
 {
 	const GPtrArray *all = member_table_all(membership->table);
 
--- a/core/membership/membership.h
+++ b/core/membership/membership.h
@@ -35,8 +35,9 @@
 void membership_receive(struct membership *membership,
 			const struct peer_message *message, int64_t now_us,
 			struct action_list *actions);
-void membership_ask(struct membership *membership, const char *address,
-		    int64_t now_us, struct action_list *actions);
+void membership_discover_address(struct membership *membership,
+				 const char *address, int64_t now_us,
+				 struct action_list *actions);
 void membership_set_state(struct membership *membership,
 			  enum member_state state);
 void membership_set_config_revision(struct membership *membership,
@@ -54,7 +55,7 @@
 uint64_t membership_epoch(const struct membership *membership);
 
 /* When more than half of the known nodes of the region last answered, in us. */
-int64_t membership_quorum_heard_us(const struct membership *membership);
+int64_t membership_last_quorum_us(const struct membership *membership);
 
 G_END_DECLS
 
--- a/core/membership/membership_probe.c
+++ b/core/membership/membership_probe.c
@@ -328,8 +328,9 @@
 }
 
 /* Probes an address unless a member that is not dead is known there. */
-void membership_ask(struct membership *membership, const char *address,
-		    int64_t now_us, struct action_list *actions)
+void membership_discover_address(struct membership *membership,
+				 const char *address, int64_t now_us,
+				 struct action_list *actions)
 {
 	if (!membership_is_lost_address(membership, address))
 		return;
--- a/core/message/peer_message.c
+++ b/core/message/peer_message.c
@@ -10,7 +10,7 @@
 	[PEER_PROGRESS] = "progress",
 	[PEER_RELEASE] = "release",
 	[PEER_CONFIG] = "config",
-	[PEER_CONFIG_ASK] = "config_ask",
+	[PEER_CONFIG_REQUEST] = "config_ask",
 	[PEER_LEAVING] = "leaving",
 	[PEER_QUARANTINE] = "quarantine",
 	[PEER_LIMIT_REPORT] = "limit_report",
@@ -19,7 +19,7 @@
 	[PEER_ROUTES] = "routes",
 	[PEER_CHOOSE] = "choose",
 	[PEER_CHOSEN] = "chosen",
-	[PEER_ROUTES_ASK] = "routes_ask",
+	[PEER_ROUTES_REQUEST] = "routes_ask",
 };
 
 static void member_free(gpointer data)
@@ -78,9 +78,9 @@
 	case PEER_REFUSED:
 	case PEER_RELEASE:
 	case PEER_CONFIG:
-	case PEER_CONFIG_ASK:
+	case PEER_CONFIG_REQUEST:
 	case PEER_ROUTES:
-	case PEER_ROUTES_ASK:
+	case PEER_ROUTES_REQUEST:
 	case PEER_QUARANTINE:
 	case PEER_MESSAGE_TYPES:
 		break;
@@ -122,9 +122,9 @@
 		g_free(message->chosen.backup);
 		break;
 	case PEER_CONFIG:
-	case PEER_CONFIG_ASK:
+	case PEER_CONFIG_REQUEST:
 	case PEER_ROUTES:
-	case PEER_ROUTES_ASK:
+	case PEER_ROUTES_REQUEST:
 		if (message->config.document)
 			g_bytes_unref(message->config.document);
 		break;
@@ -196,7 +196,7 @@
 }
 
 /* Appends an empty holding; the message owns it. */
-struct peer_holding *peer_progress_add(struct peer_progress *progress)
+struct peer_holding *peer_progress_add_holding(struct peer_progress *progress)
 {
 	struct peer_holding *holding = g_new0(struct peer_holding, 1);
 
@@ -208,8 +208,8 @@
  * Appends an endpoint with zero load. The pointer is valid until the next one
  * is added.
  */
-struct peer_held *peer_standing_add(struct peer_standing *standing,
-				    uint64_t endpoint_key)
+struct peer_held *peer_standing_add_held(struct peer_standing *standing,
+					 uint64_t endpoint_key)
 {
 	struct peer_held *held;
 
--- a/core/message/refusal.c
+++ b/core/message/refusal.c
@@ -65,7 +65,7 @@
 };
 
 /* Returns the HTTP status of a refusal. */
-int refusal_status(enum refusal refusal)
+int refusal_http_status(enum refusal refusal)
 {
 	return descriptions[refusal].status;
 }
@@ -83,7 +83,7 @@
 }
 
 /* Returns the default "run" value, for calls whose own run is not known. */
-enum run refusal_run(enum refusal refusal)
+enum run refusal_default_run(enum refusal refusal)
 {
 	return descriptions[refusal].run;
 }
--- a/core/node/call.h
+++ b/core/node/call.h
@@ -46,13 +46,15 @@
 	int64_t state_since_us; /* when it entered this state */
 	int64_t timer_us;	/* next timer; INT64_MAX: none */
 	int64_t retry_us; /* end of the wait in placing, backoff, reattach */
-	int64_t last_heard_us; /* last data from the endpoint, or flow change */
+	int64_t last_active_us; /* last data from the endpoint, or flow change
+				 */
 
 	uint64_t ticket; /* identifies the call to the home; 0: none */
 	char *home;	 /* home that was asked; "": this node's own share */
-	bool home_heard; /* the home has confirmed that the ticket is queued */
-	int64_t placed_us; /* when the grant arrived */
-	uint32_t shard;	   /* index of the shard that was asked */
+	bool home_acknowledged; /* the home has confirmed that the ticket is
+				   queued */
+	int64_t placed_us;	/* when the grant arrived */
+	uint32_t shard;		/* index of the shard that was asked */
 
 	uint64_t attempt; /* current attempt; 0: none */
 	int32_t attempts;
--- a/core/node/node.c
+++ b/core/node/node.c
@@ -148,7 +148,7 @@
 {
 	membership_receive(node->membership, message, node->now_us,
 			   node->actions);
-	node_config_check_members(node, message);
+	node_config_check_probe(node, message);
 }
 
 static const struct member *node_find_sender(const struct node *node,
@@ -178,8 +178,8 @@
 			node_home_place(node, message);
 		break;
 	case PEER_PLACED:
-		node_place_placed(node, message->placed.ticket,
-				  message->placed.endpoint);
+		node_place_granted(node, message->placed.ticket,
+				   message->placed.endpoint);
 		break;
 	case PEER_REFUSED:
 		node_place_refused(node, message->refused.ticket,
@@ -195,14 +195,14 @@
 				  message->release.tokens);
 		break;
 	case PEER_CONFIG:
-	case PEER_CONFIG_ASK:
+	case PEER_CONFIG_REQUEST:
 		node_config_peer(node, message);
 		break;
 	case PEER_LEAVING:
 		node_leaving_peer(node, &message->leaving);
 		break;
 	case PEER_QUARANTINE:
-		node_attempt_peer_crash(node, &message->quarantine);
+		node_attempt_receive_crash(node, &message->quarantine);
 		break;
 	case PEER_LIMIT_REPORT:
 	case PEER_LIMIT_SHARE:
@@ -210,7 +210,7 @@
 		break;
 	case PEER_STANDING:
 	case PEER_ROUTES:
-	case PEER_ROUTES_ASK:
+	case PEER_ROUTES_REQUEST:
 	case PEER_CHOOSE:
 	case PEER_CHOSEN: /* handled by the gateway */
 	case PEER_MESSAGE_TYPES:
@@ -250,9 +250,10 @@
 	else if (answer->outcome == KV_NOT_APPLIED)
 		counters_add(&node->counters, COUNTER_KV_FAILED, 1);
 	else
-		node->kv_heard_us = node->now_us;
+		node->kv_contact_us = node->now_us;
 	if (!node_config_kv(node, answer) && !node_claim_kv(node, answer) &&
-	    !plan_book_kv(node->plans, answer, node->now_us, node->actions) &&
+	    !plan_book_handle_kv_answer(node->plans, answer, node->now_us,
+					node->actions) &&
 	    !node_rollout_kv(node, answer) && !node_discovery_kv(node, answer))
 		counters_add(&node->counters, COUNTER_EVENTS_UNKNOWN, 1);
 }
@@ -302,7 +303,7 @@
 		node_attempt_failed(node, &event->failed);
 		break;
 	case EVENT_LOAD:
-		node_home_load(node, &event->load);
+		node_home_update_load(node, &event->load);
 		break;
 	case EVENT_ORDER:
 		node_rollout_order(node, &event->order);
@@ -354,7 +355,8 @@
 	 * Calls that arrived during a pause, however short, may still be
 	 * waiting in the event queue.
 	 */
-	if (node->now_us < MAX(node->settled_us, node->drain_check_from_us))
+	if (node->now_us <
+	    MAX(node->dispatch_from_us, node->drain_check_from_us))
 		return;
 	if (g_hash_table_size(node->calls) > 0 &&
 	    (node->options.drain_timeout_us == 0 ||
@@ -382,7 +384,7 @@
 {
 	if (node->now_us >= node->next_poll_us) {
 		node->next_poll_us = node->now_us + node->options.load_poll_us;
-		node_home_poll(node);
+		node_home_poll_load(node);
 		node_leaving_expire(node);
 	}
 	if (node->now_us >= node->next_progress_us) {
@@ -423,7 +425,7 @@
 	    node->options.progress_us + STEP_TOLERANCE_US)
 		node->drain_check_from_us = now_us + STEP_TOLERANCE_US;
 	if (node->now_us && now_us - node->now_us > threshold_us) {
-		node->settled_us = now_us + PAUSE_HOLD_US;
+		node->dispatch_from_us = now_us + PAUSE_HOLD_US;
 		node->next_poll_us = now_us;
 		g_snprintf(gap_ms, sizeof(gap_ms), "%" G_GINT64_FORMAT,
 			   (now_us - node->now_us) / MS_US);
--- a/core/node/node_attempt.c
+++ b/core/node/node_attempt.c
@@ -45,9 +45,9 @@
 	call_new_attempt(node, call);
 	call->attempts++;
 	if (call->attempts == 1)
-		retry_budget_count_first(node->retries);
+		retry_budget_count_request(node->retries);
 	call_set_generation(call, NULL);
-	node_id_dispatched(call);
+	node_id_mark_dispatched(call);
 	node_call_set_state(node, call, CALL_SENT);
 	counters_add(&node->counters, COUNTER_ATTEMPTS, 1);
 	if (call->attempts > 1)
@@ -73,7 +73,7 @@
 	struct action *action;
 
 	call_new_attempt(node, call);
-	call->last_heard_us = node->now_us;
+	call->last_active_us = node->now_us;
 	node_call_set_state(node, call, CALL_STREAMING);
 	action = action_list_add(node->actions, ACTION_ATTEMPT_RESUME);
 	action->resume.attempt = call->attempt;
@@ -140,8 +140,8 @@
 }
 
 /* Records that another node had a request in flight at a failed endpoint. */
-void node_attempt_peer_crash(struct node *node,
-			     const struct peer_quarantine *report)
+void node_attempt_receive_crash(struct node *node,
+				const struct peer_quarantine *report)
 {
 	quarantine_report_crash(node->quarantine, report->fingerprint,
 				report->endpoint, node->now_us);
@@ -217,7 +217,7 @@
 			      enum attempt_stage stage)
 {
 	node_place_release(node, call,
-			   stage == ATTEMPT_NOT_SENT ? RELEASE_LOST
+			   stage == ATTEMPT_NOT_SENT ? RELEASE_UNREACHABLE
 						     : RELEASE_NOT_SENT);
 	call->avoid_hash = home_hash(call->endpoint, "", 0);
 	node_attempt_retry(node, call);
@@ -248,7 +248,7 @@
 	}
 	if (event->stage == ATTEMPT_SENT)
 		node_broadcast_crash(node, call);
-	if (call_has_tokens(call) && event->stage == ATTEMPT_GONE) {
+	if (call_has_tokens(call) && event->stage == ATTEMPT_NOT_FOUND) {
 		node_place_release(node, call, RELEASE_FAILED);
 		node_call_refuse(node, call, REFUSAL_GENERATION_GONE, RUN_YES,
 				 NODE_RETRY_AFTER_US);
@@ -263,7 +263,7 @@
 	case ATTEMPT_REFUSED:
 		call_fail_not_run(node, call, event->stage);
 		break;
-	case ATTEMPT_GONE:
+	case ATTEMPT_NOT_FOUND:
 	case ATTEMPT_SENT:
 		call_fail_undelivered(node, call, REFUSAL_ENDPOINT_FAILED);
 		break;
@@ -299,7 +299,7 @@
 
 	if (!call)
 		return;
-	if (!event_id_is_token(event->generation, MAX_GENERATION_LENGTH) ||
+	if (!event_id_is_safe_name(event->generation, MAX_GENERATION_LENGTH) ||
 	    (call->generation &&
 	     strcmp(call->generation, event->generation) != 0)) {
 		/* It cannot be resumed, or is another generation. */
@@ -336,7 +336,7 @@
 
 	if (!call)
 		return;
-	call->last_heard_us = node->now_us;
+	call->last_active_us = node->now_us;
 	if (!chunk_is_valid(call, event) ||
 	    event->first_token < call->next_token) {
 		counters_add(&node->counters, COUNTER_CHUNKS_DROPPED, 1);
@@ -377,7 +377,7 @@
 					      REFUSAL_ENDPOINT_FAILED);
 		return;
 	}
-	node_place_release(node, call, RELEASE_WHOLE);
+	node_place_release(node, call, RELEASE_COMPLETE);
 	node_call_end(node, call, REFUSAL_NONE, event->finish_reason);
 }
 
@@ -399,7 +399,7 @@
 	}
 	call_end_attempt(node, call);
 	node_place_release(node, call,
-			   call->kind == SERVICE_PLAIN ? RELEASE_WHOLE
+			   call->kind == SERVICE_PLAIN ? RELEASE_COMPLETE
 						       : RELEASE_CANCELLED);
 	node_call_answer(node, call, event);
 }
--- a/core/node/node_call.c
+++ b/core/node/node_call.c
@@ -12,7 +12,8 @@
 {
 	int64_t retry_after_us = 0;
 
-	if (refusal_status(refusal) == 503 || refusal_status(refusal) == 429)
+	if (refusal_http_status(refusal) == 503 ||
+	    refusal_http_status(refusal) == 429)
 		retry_after_us = NODE_RETRY_AFTER_US;
 	node_refuse(node, event->call, refusal, run, retry_after_us, NULL);
 	node_log(node, LOG_LEVEL_INFO, "call_refused", NULL, "reason",
@@ -68,7 +69,7 @@
  * Returns a hash of the service, path and body of a request. A reused id with a
  * different hash is a different request.
  */
-uint64_t node_fingerprint(const struct request *request)
+uint64_t request_fingerprint(const struct request *request)
 {
 	gsize size;
 	const char *data = g_bytes_get_data(request->body, &size);
@@ -121,7 +122,7 @@
 			? MIN(event->request->priority, organisation->priority)
 			: organisation->priority;
 	call->kind = service->kind;
-	call->fingerprint = node_fingerprint(event->request);
+	call->fingerprint = request_fingerprint(event->request);
 	g_hash_table_insert(node->calls, &call->id, call);
 	return call;
 }
@@ -140,13 +141,14 @@
 	counters_add(&node->counters, COUNTER_CALLS, 1);
 	refusal = node_check_ready(node);
 	if (node->config)
-		organisation =
-			config_find_key(node->config, event->request->bearer);
+		organisation = config_find_key_owner(node->config,
+						     event->request->bearer);
 	if (refusal != REFUSAL_NONE) {
-		node_reject_call(
-			node, event, refusal,
-			node_id_run(node, event->request,
-				    organisation ? organisation->name : NULL));
+		node_reject_call(node, event, refusal,
+				 node_id_run_state(node, event->request,
+						   organisation
+							   ? organisation->name
+							   : NULL));
 		return;
 	}
 	service = config_find_service(node->config, event->request->service);
@@ -186,7 +188,7 @@
 	case CALL_STREAMING:
 		if (call->paused)
 			return INT64_MAX;
-		return call->last_heard_us + options->stall_timeout_us;
+		return call->last_active_us + options->stall_timeout_us;
 	case CALL_FORWARDED:
 		return call->state_since_us + options->plain_timeout_us;
 	case CALL_JOINED:
@@ -216,8 +218,8 @@
 	call->state = state;
 	call->state_since_us = node->now_us;
 	if (state == CALL_PLACING)
-		call->retry_us =
-			node->now_us + (call->home_heard ? PLACE_REPEAT_US
+		call->retry_us = node->now_us + (call->home_acknowledged
+							 ? PLACE_REPEAT_US
 							 : HOME_ACK_TIMEOUT_US);
 	node_call_arm_timer(node, call);
 }
@@ -297,7 +299,7 @@
  * Removes and frees a call: cancels its attempt, releases its ticket and its
  * share of the organisation's limits. Sends nothing to the caller.
  */
-void node_call_drop(struct node *node, struct call *call)
+void node_call_remove(struct node *node, struct call *call)
 {
 	if (call->attempt)
 		node_attempt_cancel(node, call, false);
@@ -335,8 +337,8 @@
 		call->outcome->state = OUTCOME_NOT_RUN;
 	if (call->attempt && call->begun)
 		node_attempt_cancel(node, call, true);
-	node_outcome_settle(node, call);
-	node_call_drop(node, call);
+	node_outcome_answer_waiting(node, call);
+	node_call_remove(node, call);
 }
 
 /*
@@ -351,7 +353,7 @@
 	if (!call || call->paused == event->full)
 		return;
 	call->paused = event->full;
-	call->last_heard_us = node->now_us;
+	call->last_active_us = node->now_us;
 	node_call_arm_timer(node, call);
 	if (!call->attempt)
 		return;
--- a/core/node/node_claim.c
+++ b/core/node/node_claim.c
@@ -57,7 +57,8 @@
 static bool node_claim_lease_is_fresh(const struct node *node)
 {
 	return node->claim_lease &&
-	       node->now_us - node->claim_lease_us < CLAIM_LEASE_REPLACE_US;
+	       node->now_us - node->claim_lease_granted_us <
+		       CLAIM_LEASE_REPLACE_US;
 }
 
 /*
@@ -99,7 +100,7 @@
 	struct outcome *outcome = call->outcome;
 
 	outcome->state = OUTCOME_UNKNOWN;
-	node_outcome_settle(node, call);
+	node_outcome_answer_waiting(node, call);
 	outcome->state = OUTCOME_NOT_RUN;
 }
 
@@ -211,7 +212,7 @@
 		return;
 	}
 	node->claim_lease = answer->lease;
-	node->claim_lease_us = node->now_us;
+	node->claim_lease_granted_us = node->now_us;
 	node_call_each(node, call_lease_granted);
 }
 
