--- a/core/node/node_config.c
+++ b/core/node/node_config.c
@@ -36,7 +36,7 @@
 				     const char *peer_address)
 {
 	struct peer_message *message =
-		node_message_create(node, PEER_CONFIG_ASK);
+		node_message_create(node, PEER_CONFIG_REQUEST);
 
 	message->config.revision = node_config_revision(node);
 	node_send(node, peer_address, message);
@@ -49,10 +49,10 @@
  */
 static void node_request_config(struct node *node, const char *peer_address)
 {
-	if (node->config_asked_us &&
-	    node->now_us - node->config_asked_us < CONFIG_COPY_TIMEOUT_US)
+	if (node->config_requested_us &&
+	    node->now_us - node->config_requested_us < CONFIG_COPY_TIMEOUT_US)
 		return;
-	node->config_asked_us = node->now_us;
+	node->config_requested_us = node->now_us;
 	node_send_config_request(node, peer_address);
 }
 
@@ -124,7 +124,7 @@
 	config_unref(node->config);
 	g_clear_pointer(&node->config_document, g_bytes_unref);
 	node->config = config;
-	node->config_asked_us = 0;
+	node->config_requested_us = 0;
 	node->config_document = g_bytes_ref(document);
 	counters_add(&node->counters, COUNTER_CONFIG_APPLIED, 1);
 	membership_set_config_revision(node->membership, revision);
@@ -224,7 +224,7 @@
 /* Handles a change of the watched key. */
 void node_config_watch(struct node *node, const struct event_kv_watch *event)
 {
-	node->kv_heard_us = node->now_us;
+	node->kv_contact_us = node->now_us;
 	if (!event->value || strcmp(event->key, CONFIG_KEY) != 0)
 		return;
 	node_apply_config(node, event->value, event->mod_revision, "watch");
@@ -260,8 +260,8 @@
  * Compares the sender's revision in a probe with this node's. A node that
  * missed an announcement thus learns of the higher revision by the next probe.
  */
-void node_config_check_members(struct node *node,
-			       const struct peer_message *message)
+void node_config_check_probe(struct node *node,
+			     const struct peer_message *message)
 {
 	for (guint i = 0; i < message->probe.members->len; i++) {
 		const struct member *member =
@@ -281,8 +281,8 @@
  */
 bool node_config_is_isolated(const struct node *node)
 {
-	int64_t heard_us = MAX(node->kv_heard_us,
-			       membership_quorum_heard_us(node->membership));
+	int64_t heard_us = MAX(node->kv_contact_us,
+			       membership_last_quorum_us(node->membership));
 
 	heard_us = MAX(heard_us, node->started_us);
 	return node->now_us - heard_us > node->options.isolation_us;
--- a/core/node/node_discovery.c
+++ b/core/node/node_discovery.c
@@ -57,7 +57,7 @@
 	const struct holder_options options = {
 		.key = key,
 		.name = node->options.peer_address,
-		.is_alone = true,
+		.is_sole_claimant = true,
 		.seed = node->options.seed,
 		.next_kv_id = &node->next_kv_id,
 		.counters = &node->counters,
@@ -74,7 +74,7 @@
 {
 	if (!node->options.discovers_nodes)
 		return;
-	node->register_us =
+	node->register_from_us =
 		node->now_us + random_delay_us(node, REGISTER_JITTER_US);
 	node->next_list_us = node->now_us + FIRST_LIST_DELAY_US +
 			     random_delay_us(node, FIRST_LIST_DELAY_US);
@@ -91,10 +91,11 @@
 	int64_t delay_us = LIST_INTERVAL_US;
 
 	if (node_is_alone(node))
-		delay_us =
-			MIN(ALONE_LIST_INTERVAL_US << MIN(node->alone_lists, 8),
-			    MAX_ALONE_LIST_US);
-	node->alone_lists = node_is_alone(node) ? node->alone_lists + 1 : 0;
+		delay_us = MIN(ALONE_LIST_INTERVAL_US
+				       << MIN(node->alone_list_count, 8),
+			       MAX_ALONE_LIST_US);
+	node->alone_list_count =
+		node_is_alone(node) ? node->alone_list_count + 1 : 0;
 	return delay_us / 2 + random_delay_us(node, delay_us / 2);
 }
 
@@ -131,7 +132,7 @@
 	if (!node->options.discovers_nodes)
 		return;
 	holder_set_wanted(node->own_entry,
-			  active && node->now_us >= node->register_us);
+			  active && node->now_us >= node->register_from_us);
 	holder_step(node->own_entry, node->now_us, node->actions);
 	log_registered(node);
 	if (active && node->now_us >= node->next_list_us)
@@ -145,7 +146,8 @@
 
 	if (!node->options.discovers_nodes)
 		return INT64_MAX;
-	due_us = MAX(holder_next_due_us(node->own_entry), node->register_us);
+	due_us = MAX(holder_next_due_us(node->own_entry),
+		     node->register_from_us);
 	return node_is_active(node) ? MIN(due_us, node->next_list_us) : due_us;
 }
 
@@ -163,8 +165,8 @@
 	if (lease)
 		*lease = '\0';
 	if (lease && strcmp(address, node->options.peer_address) != 0)
-		membership_ask(node->membership, address, node->now_us,
-			       node->actions);
+		membership_discover_address(node->membership, address,
+					    node->now_us, node->actions);
 	g_free(address);
 }
 
--- a/core/node/node_home.c
+++ b/core/node/node_home.c
@@ -16,8 +16,8 @@
 {
 	struct home_ticket *ticket = data;
 
-	g_free(ticket->asker);
-	g_free(ticket->asker_address);
+	g_free(ticket->requester);
+	g_free(ticket->requester_address);
 	g_free(ticket->endpoint);
 	g_free(ticket);
 }
@@ -51,13 +51,13 @@
 {
 	struct peer_message *message;
 
-	if (!ticket->asker_address)
+	if (!ticket->requester_address)
 		return;
 	message = node_message_create(node, PEER_PLACED);
 	message->placed.ticket = ticket->ticket;
 	message->placed.endpoint =
 		g_strdup(ticket->endpoint ? ticket->endpoint : "");
-	node_send(node, ticket->asker_address, message);
+	node_send(node, ticket->requester_address, message);
 }
 
 /* The node's table owns the ticket. from is NULL for a call of this node. */
@@ -70,8 +70,8 @@
 
 	ticket->ticket = number;
 	ticket->shard = shard;
-	ticket->asker = g_strdup(from ? from->from : node->options.name);
-	ticket->asker_address = from ? g_strdup(from->from_address) : NULL;
+	ticket->requester = g_strdup(from ? from->from : node->options.name);
+	ticket->requester_address = from ? g_strdup(from->from_address) : NULL;
 	ticket->incarnation =
 		from ? from->incarnation : node->options.incarnation;
 	g_hash_table_insert(node->home_tickets, &ticket->ticket, ticket);
@@ -195,8 +195,8 @@
 		return;
 	ticket = home_ticket_create(node, shard, holding->ticket, message);
 	ticket->endpoint = g_strdup(holding->endpoint);
-	placement_hold(shard->placement, &request, holding->endpoint,
-		       holding->tokens, node->now_us);
+	placement_record_grant(shard->placement, &request, holding->endpoint,
+			       holding->tokens, node->now_us);
 	shard->dirty = true;
 }
 
@@ -214,8 +214,8 @@
 	}
 	if (!ticket->endpoint)
 		return; /* still queued here */
-	placement_progress(ticket->shard->placement, holding->ticket,
-			   holding->tokens, node->now_us);
+	placement_report_progress(ticket->shard->placement, holding->ticket,
+				  holding->tokens, node->now_us);
 }
 
 /*
@@ -226,7 +226,7 @@
 			      const struct peer_message *message,
 			      GHashTable *held)
 {
-	return strcmp(ticket->asker, message->from) == 0 &&
+	return strcmp(ticket->requester, message->from) == 0 &&
 	       (ticket->incarnation != message->incarnation ||
 		!g_hash_table_contains(held, &ticket->ticket));
 }
@@ -281,9 +281,9 @@
 	for (guint i = 0; i < node->shards->len; i++) {
 		struct shard *shard = g_ptr_array_index(node->shards, i);
 
-		if (!g_hash_table_remove(shard->awaited, message->from))
+		if (!g_hash_table_remove(shard->missing_reports, message->from))
 			continue;
-		if (g_hash_table_size(shard->awaited) == 0)
+		if (g_hash_table_size(shard->missing_reports) == 0)
 			shard->grant_from_us = node->now_us;
 	}
 }
@@ -298,7 +298,7 @@
 
 	if (!ticket)
 		return;
-	address = g_strdup(ticket->asker_address);
+	address = g_strdup(ticket->requester_address);
 	g_hash_table_remove(node->home_tickets, &decision->ticket);
 	if (!address) {
 		node_place_refused(node, decision->ticket, decision->refusal,
@@ -324,12 +324,12 @@
 		return;
 	g_free(ticket->endpoint);
 	ticket->endpoint = g_strdup(decision->endpoint);
-	if (ticket->asker_address) {
+	if (ticket->requester_address) {
 		node_send_placed(node, ticket);
 		return;
 	}
 	endpoint = g_strdup(decision->endpoint);
-	node_place_placed(node, decision->ticket, endpoint);
+	node_place_granted(node, decision->ticket, endpoint);
 	g_free(endpoint);
 }
 
@@ -403,7 +403,7 @@
 }
 
 /* Polls the load of all endpoints in the shards whose home is this node. */
-void node_home_poll(struct node *node)
+void node_home_poll_load(struct node *node)
 {
 	for (guint i = 0; i < node->shards->len; i++) {
 		const struct shard *shard = g_ptr_array_index(node->shards, i);
@@ -417,7 +417,7 @@
 }
 
 /* Handles an endpoint's load report, or the failure to get one. */
-void node_home_load(struct node *node, const struct event_load *event)
+void node_home_update_load(struct node *node, const struct event_load *event)
 {
 	for (guint i = 0; i < node->shards->len; i++) {
 		struct shard *shard = g_ptr_array_index(node->shards, i);
--- a/core/node/node_id.c
+++ b/core/node/node_id.c
@@ -35,7 +35,7 @@
 	if (!outcome)
 		return RUN_NO;
 	switch (outcome->state) {
-	case OUTCOME_WHOLE:
+	case OUTCOME_COMPLETE:
 		return RUN_YES;
 	case OUTCOME_RUNNING: /* sent, but possibly not started */
 	case OUTCOME_UNKNOWN:
@@ -54,8 +54,9 @@
  * for a request without an id, or when this process is the only one that may
  * run the id and has not run this request. organisation is NULL if unknown.
  */
-enum run node_id_run(const struct node *node, const struct request *request,
-		     const char *organisation)
+enum run node_id_run_state(const struct node *node,
+			   const struct request *request,
+			   const char *organisation)
 {
 	const char *id = request->idempotency_key;
 	const struct outcome *outcome;
@@ -70,7 +71,7 @@
 	g_free(key);
 	if (!node_may_run_id(node, id, outcome))
 		return RUN_UNKNOWN;
-	if (outcome && outcome->fingerprint != node_fingerprint(request))
+	if (outcome && outcome->fingerprint != request_fingerprint(request))
 		return RUN_NO; /* the id was used for another request */
 	return outcome_run_state(outcome);
 }
@@ -137,7 +138,7 @@
 	outcome = outcome_store_find(node->outcomes, key);
 	if (outcome) {
 		g_free(key);
-		return node_outcome_repeat(node, call, outcome);
+		return node_outcome_handle_repeat(node, call, outcome);
 	}
 	outcome = outcome_store_add(node->outcomes, key, expires_us);
 	g_free(key);
@@ -213,7 +214,7 @@
  * Marks the call's outcome as running. From here on the request may run, so a
  * call that repeats its id must not be sent as well.
  */
-void node_id_dispatched(struct call *call)
+void node_id_mark_dispatched(struct call *call)
 {
 	if (call->outcome)
 		call->outcome->state = OUTCOME_RUNNING;
--- a/core/node/node_leaving.c
+++ b/core/node/node_leaving.c
@@ -88,7 +88,7 @@
 	else
 		mark->sources &= ~(uint32_t)source;
 	if (source == LEAVING_PEER && leaving)
-		mark->peer_until_us = node->now_us + PEER_LEAVING_US;
+		mark->peer_expires_us = node->now_us + PEER_LEAVING_TTL_US;
 	if (!mark->sources)
 		g_hash_table_remove(node->leaving, endpoint);
 	if (was_leaving == g_hash_table_contains(node->leaving, endpoint))
@@ -129,7 +129,7 @@
 		const struct leaving_mark *mark = value;
 
 		if ((mark->sources & LEAVING_PEER) &&
-		    mark->peer_until_us <= node->now_us)
+		    mark->peer_expires_us <= node->now_us)
 			g_ptr_array_add(expired, g_strdup(key));
 	}
 	for (guint i = 0; i < expired->len; i++)
--- a/core/node/node_limits.c
+++ b/core/node/node_limits.c
@@ -92,8 +92,8 @@
 	organisation_limits_divide(node->limits, organisation,
 				   node->options.name, report, node->now_us,
 				   &share);
-	organisation_limits_take_share(node->limits, organisation->name, &share,
-				       node->now_us);
+	organisation_limits_apply_share(node->limits, organisation->name,
+					&share, node->now_us);
 }
 
 /* The report to a home, created on first use. The table does not own it. */
@@ -144,7 +144,7 @@
  */
 void node_limits_report(struct node *node)
 {
-	GPtrArray *names = organisation_limits_active(node->limits);
+	GPtrArray *names = organisation_limits_list_active(node->limits);
 	GHashTable *reports =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	GList *addresses;
@@ -206,8 +206,8 @@
 			node_find_organisation(node, share->organisation_hash);
 
 		if (organisation)
-			organisation_limits_take_share(node->limits,
-						       organisation->name,
-						       share, node->now_us);
+			organisation_limits_apply_share(node->limits,
+							organisation->name,
+							share, node->now_us);
 	}
 }
--- a/core/node/node_outcome.c
+++ b/core/node/node_outcome.c
@@ -68,7 +68,7 @@
 		call_replay_answer(node, call, outcome);
 	else
 		call_replay_stream(node, call, outcome);
-	node_call_drop(node, call);
+	node_call_remove(node, call);
 }
 
 static void call_join(struct node *node, struct call *call,
@@ -97,8 +97,8 @@
  * may be sent to an endpoint. Otherwise it waits for the outcome, or has been
  * answered or refused and is freed.
  */
-bool node_outcome_repeat(struct node *node, struct call *call,
-			 struct outcome *outcome)
+bool node_outcome_handle_repeat(struct node *node, struct call *call,
+				struct outcome *outcome)
 {
 	/* Nothing has run with this id, so it is not bound to a body yet. */
 	if (outcome->state == OUTCOME_NOT_RUN)
@@ -117,7 +117,7 @@
 	case OUTCOME_RUNNING:
 		call_join(node, call, outcome);
 		return false;
-	case OUTCOME_WHOLE:
+	case OUTCOME_COMPLETE:
 		call_replay(node, call, outcome);
 		return false;
 	case OUTCOME_UNKNOWN:
@@ -132,7 +132,7 @@
 			       struct outcome *outcome)
 {
 	switch (outcome->state) {
-	case OUTCOME_WHOLE:
+	case OUTCOME_COMPLETE:
 		call_replay(node, call, outcome);
 		break;
 	case OUTCOME_NOT_RUN:
@@ -152,7 +152,7 @@
  * Answers the calls that wait for the outcome of this call's id, and detaches
  * this call from the outcome. Does nothing for a call that itself waits.
  */
-void node_outcome_settle(struct node *node, struct call *call)
+void node_outcome_answer_waiting(struct node *node, struct call *call)
 {
 	struct outcome *outcome = call->outcome;
 	GArray *waiting;
--- a/core/node/node_place.c
+++ b/core/node/node_place.c
@@ -38,8 +38,8 @@
  * Fills in a placement request for the call. Its strings still belong to the
  * call.
  */
-void node_place_fill(struct node *node, const struct call *call,
-		     struct placement_request *request)
+void node_place_fill_request(struct node *node, const struct call *call,
+			     struct placement_request *request)
 {
 	(void)node;
 	request->ticket = call->ticket;
@@ -81,7 +81,8 @@
  * from the answers to this node's own callers. Otherwise a new home would have
  * no data and refuse calls as too late without knowing how long they take.
  */
-struct length_estimate *node_lengths(struct node *node, const char *service)
+struct length_estimate *node_length_estimate(struct node *node,
+					     const char *service)
 {
 	struct length_estimate *lengths =
 		g_hash_table_lookup(node->lengths, service);
@@ -105,8 +106,8 @@
 	call->home = g_strdup(shard->home);
 	node_call_set_state(node, call, CALL_PLACING);
 	if (shard->is_home) {
-		call->home_heard = true;
-		node_place_fill(node, call, &request);
+		call->home_acknowledged = true;
+		node_place_fill_request(node, call, &request);
 		node_home_submit(node, shard, &request, NULL);
 		return;
 	}
@@ -120,7 +121,7 @@
 	if (call->ticket)
 		g_hash_table_remove(node->tickets, &call->ticket);
 	call->ticket = node_new_ticket(node);
-	call->home_heard = false;
+	call->home_acknowledged = false;
 	call->placed_us = 0;
 	g_hash_table_insert(node->tickets, &call->ticket, call);
 }
@@ -163,7 +164,7 @@
 		return;
 	}
 	home = node_find_home(node, call->home);
-	if (*call->home && (!home || !call->home_heard) &&
+	if (*call->home && (!home || !call->home_acknowledged) &&
 	    !node_is_home(node, call->home)) {
 		/*
 		 * The home does not answer: it is paused, unreachable or has
@@ -177,7 +178,7 @@
 		return;
 	}
 	if (home && !node_is_home(node, call->home)) {
-		call->home_heard = false;
+		call->home_acknowledged = false;
 		node_send_place(node, call, home);
 	}
 	node_call_set_state(node, call, CALL_PLACING);
@@ -252,8 +253,8 @@
 }
 
 /* Whether the configuration lists the endpoint for the service. */
-bool node_service_has(const struct node *node, const char *service,
-		      const char *endpoint)
+bool node_service_has_endpoint(const struct node *node, const char *service,
+			       const char *endpoint)
 {
 	const struct config_service *found =
 		config_find_service(node->config, service);
@@ -267,7 +268,8 @@
  * call was placed elsewhere, and if that message was lost, the next progress
  * report of this node frees the room at the home.
  */
-void node_place_placed(struct node *node, uint64_t ticket, const char *endpoint)
+void node_place_granted(struct node *node, uint64_t ticket,
+			const char *endpoint)
 {
 	struct call *call = g_hash_table_lookup(node->tickets, &ticket);
 
@@ -276,19 +278,20 @@
 		return;
 	}
 	if (!*endpoint) {
-		call->home_heard = true;
+		call->home_acknowledged = true;
 		node_call_set_state(node, call, CALL_PLACING);
 		return;
 	}
-	if (!node_service_has(node, call->request->service, endpoint)) {
+	if (!node_service_has_endpoint(node, call->request->service,
+				       endpoint)) {
 		node_place_withdraw(node, call);
 		node_attempt_retry(node, call);
 		return;
 	}
-	if (node->now_us < node->settled_us) {
+	if (node->now_us < node->dispatch_from_us) {
 		call_set_endpoint(call, endpoint);
 		node_place_release(node, call, RELEASE_NOT_SENT);
-		call->retry_us = node->settled_us;
+		call->retry_us = node->dispatch_from_us;
 		node_call_set_state(node, call, CALL_BACKOFF);
 		return;
 	}
@@ -334,9 +337,9 @@
 {
 	struct placement_request request;
 
-	node_place_fill(node, call, &request);
-	placement_hold(shard->placement, &request, call->endpoint,
-		       call->next_token, node->now_us);
+	node_place_fill_request(node, call, &request);
+	placement_record_grant(shard->placement, &request, call->endpoint,
+			       call->next_token, node->now_us);
 	shard->dirty = true;
 }
 
@@ -383,5 +386,5 @@
 {
 	node_call_each(node, call_rehome);
 	node->next_progress_us = node->now_us;
-	node->progress_full = FULL_PROGRESS_AFTER_CHANGE;
+	node->full_progress_left = FULL_PROGRESS_AFTER_CHANGE;
 }
--- a/core/node/node_progress.c
+++ b/core/node/node_progress.c
@@ -17,7 +17,7 @@
 static void progress_add_call(struct peer_progress *progress,
 			      const struct call *call, bool full)
 {
-	struct peer_holding *holding = peer_progress_add(progress);
+	struct peer_holding *holding = peer_progress_add_holding(progress);
 	bool granted_by_home = call->home && *call->home;
 
 	holding->ticket = call->ticket;
@@ -83,8 +83,8 @@
 
 static bool node_progress_is_full(struct node *node)
 {
-	if (node->progress_full > 0) {
-		node->progress_full--;
+	if (node->full_progress_left > 0) {
+		node->full_progress_left--;
 		return true;
 	}
 	node->progress_count++;
@@ -125,8 +125,9 @@
 				&progress_message(node, homes, home)->progress,
 				call, full);
 		else if (shard && shard->placement)
-			placement_progress(shard->placement, call->ticket,
-					   call->next_token, node->now_us);
+			placement_report_progress(
+				shard->placement, call->ticket,
+				call->next_token, node->now_us);
 	}
 	progress_send_all(node, homes);
 	g_hash_table_destroy(homes);
--- a/core/node/node_query.c
+++ b/core/node/node_query.c
@@ -83,13 +83,13 @@
 			node, event->call,
 			variant_json_format(node_dump(node, node->now_us)));
 		break;
-	case QUERY_SHOW:
+	case QUERY_CONFIG:
 		query_show(node, event->call);
 		break;
 	case QUERY_PLAN:
-		plan_book_plan(node->plans, event->call, event->body,
-			       event->operator_name, node->config, node->now_us,
-			       node->actions);
+		plan_book_create_plan(node->plans, event->call, event->body,
+				      event->operator_name, node->config,
+				      node->now_us, node->actions);
 		break;
 	case QUERY_CONFIRM:
 		plan_book_confirm(node->plans, event->call, event->plan_id,
@@ -97,7 +97,8 @@
 				  node->now_us, node->actions);
 		break;
 	case QUERY_HISTORY:
-		plan_book_history(event->call, node->config, node->actions);
+		plan_book_send_history(event->call, node->config,
+				       node->actions);
 		break;
 	}
 }
--- a/core/node/node_reply.c
+++ b/core/node/node_reply.c
@@ -75,7 +75,8 @@
 {
 	call_record_refusal(call, run);
 	if (run == RUN_NO && !refusal_is_about_request(refusal))
-		run = node_id_run(node, call->request, call->organisation);
+		run = node_id_run_state(node, call->request,
+					call->organisation);
 	if (call->begun) {
 		counters_add(&node->counters, COUNTER_CALLS_BROKEN, 1);
 		call_emit_end(node, call, refusal, run, retry_after_us, "");
@@ -84,8 +85,8 @@
 	}
 	node_log(node, LOG_LEVEL_INFO, "call_refused", call, "reason",
 		 refusal_code(refusal));
-	node_outcome_settle(node, call);
-	node_call_drop(node, call);
+	node_outcome_answer_waiting(node, call);
+	node_call_remove(node, call);
 }
 
 static void call_begin(struct node *node, struct call *call)
@@ -137,7 +138,7 @@
 	outcome->endpoint = g_strdup(call->endpoint);
 	outcome->generation = g_strdup(call->generation);
 	outcome->finish_reason = g_strdup(finish_reason);
-	outcome->state = OUTCOME_WHOLE;
+	outcome->state = OUTCOME_COMPLETE;
 }
 
 /* Ends a stream that is complete, and frees the call. */
@@ -151,8 +152,8 @@
 	counters_add(&node->counters, COUNTER_CALLS_WHOLE, 1);
 	node_log(node, LOG_LEVEL_INFO, "call_end", call, "finish",
 		 finish_reason);
-	node_outcome_settle(node, call);
-	node_call_drop(node, call);
+	node_outcome_answer_waiting(node, call);
+	node_call_remove(node, call);
 }
 
 /* Sends the complete answer of an endpoint to the caller; frees the call. */
@@ -165,7 +166,7 @@
 		outcome_set_answer(node->outcomes, call->outcome,
 				   answer->status, answer->content_type,
 				   answer->body);
-		call->outcome->state = OUTCOME_WHOLE;
+		call->outcome->state = OUTCOME_COMPLETE;
 	}
 	if (!call->caller_gone) {
 		action = action_list_add(node->actions, ACTION_CALL_ANSWER);
@@ -177,6 +178,6 @@
 	}
 	counters_add(&node->counters, COUNTER_CALLS_WHOLE, 1);
 	node_log(node, LOG_LEVEL_INFO, "call_end", call, "finish", "answer");
-	node_outcome_settle(node, call);
-	node_call_drop(node, call);
+	node_outcome_answer_waiting(node, call);
+	node_call_remove(node, call);
 }
--- a/core/node/node_rollout.c
+++ b/core/node/node_rollout.c
@@ -96,7 +96,7 @@
 			node_leaving_set(node, effect->address, LEAVING_ROLLOUT,
 					 true);
 			break;
-		case ROLLOUT_PUT_IN:
+		case ROLLOUT_PUT_BACK:
 			node_leaving_set(node, effect->address, LEAVING_ROLLOUT,
 					 false);
 			break;
@@ -185,7 +185,8 @@
 	options.max_parallel = rollout->max_parallel;
 	options.min_ready_percent = rollout->min_ready_percent;
 	options.max_failures = rollout->max_failures;
-	options.return_us = PEER_LEAVING_US + LEAVING_MARGIN_US;
+	options.put_back_propagation_us =
+		PEER_LEAVING_TTL_US + LEAVING_MARGIN_US;
 	options.next_kv_id = &node->next_kv_id;
 	options.counters = &node->counters;
 	options.kv_timeout_us = node->options.kv_timeout_us;
@@ -212,7 +213,7 @@
 	GArray *effects =
 		g_array_new(FALSE, FALSE, sizeof(struct rollout_effect));
 
-	rollout_let_go(item->rollout, node->now_us, effects);
+	rollout_reset(item->rollout, node->now_us, effects);
 	apply_effects(node, item->rollout, effects);
 	g_array_unref(effects);
 }
@@ -285,7 +286,7 @@
 		struct node_rollout *item =
 			g_ptr_array_index(node->rollouts, i);
 
-		if (rollout_kv(item->rollout, answer, node->now_us))
+		if (rollout_handle_kv(item->rollout, answer, node->now_us))
 			return true;
 	}
 	return false;
@@ -298,7 +299,7 @@
 		struct node_rollout *item =
 			g_ptr_array_index(node->rollouts, i);
 
-		rollout_order(item->rollout, event, node->now_us);
+		rollout_handle_order(item->rollout, event, node->now_us);
 	}
 }
 
@@ -310,7 +311,7 @@
 		struct node_rollout *item =
 			g_ptr_array_index(node->rollouts, i);
 
-		rollout_order_state(item->rollout, event, node->now_us);
+		rollout_handle_order_state(item->rollout, event, node->now_us);
 	}
 }
 
--- a/core/node/node_share.c
+++ b/core/node/node_share.c
@@ -35,8 +35,8 @@
 		.kind = service->kind,
 		.seed = home_hash(node->options.name, name, node->options.seed),
 		.max_waiting = node->options.max_waiting,
-		.step_us = PLACEMENT_STEP_US,
-		.lengths = node_lengths(node, name),
+		.step_us = PLACEMENT_TOKEN_INTERVAL_US,
+		.lengths = node_length_estimate(node, name),
 	};
 
 	if (share)
@@ -56,7 +56,7 @@
 	g_free(call->home);
 	call->home = g_strdup("");
 	node_call_set_state(node, call, CALL_PLACING);
-	node_place_fill(node, call, &request);
+	node_place_fill_request(node, call, &request);
 	placement_submit(node_share(node, call->request->service), &request,
 			 node->now_us);
 }
@@ -70,9 +70,10 @@
 {
 	struct placement_request request = {0};
 
-	node_place_fill(node, call, &request);
-	placement_hold(node_share(node, call->request->service), &request,
-		       call->endpoint, call->next_token, node->now_us);
+	node_place_fill_request(node, call, &request);
+	placement_record_grant(node_share(node, call->request->service),
+			       &request, call->endpoint, call->next_token,
+			       node->now_us);
 }
 
 /* Adjusts the local shares to a changed number of nodes. */
@@ -96,7 +97,8 @@
 		return;
 	}
 	if (node_call_is_placed(call) &&
-	    node_service_has(node, call->request->service, call->endpoint))
+	    node_service_has_endpoint(node, call->request->service,
+				      call->endpoint))
 		node_share_hold(node, call);
 }
 
@@ -122,8 +124,8 @@
 
 	if (share && call->ticket && call->home &&
 	    !node_is_home(node, call->home))
-		placement_progress(share, call->ticket, call->next_token,
-				   node->now_us);
+		placement_report_progress(share, call->ticket, call->next_token,
+					  node->now_us);
 }
 
 static void share_apply_decisions(struct node *node, struct placement *share)
@@ -144,7 +146,7 @@
 			continue;
 		}
 		endpoint = g_strdup(decision->endpoint);
-		node_place_placed(node, decision->ticket, endpoint);
+		node_place_granted(node, decision->ticket, endpoint);
 		g_free(endpoint);
 	}
 	g_array_unref(decisions);
--- a/core/node/node_state.h
+++ b/core/node/node_state.h
@@ -51,7 +51,8 @@
 	bool is_home;	       /* this node is the home */
 	bool dirty;	       /* an input of placement has changed */
 	int64_t grant_from_us; /* a new home grants nothing before */
-	GHashTable *awaited;   /* nodes whose first report is outstanding */
+	GHashTable
+		*missing_reports; /* nodes whose first report is outstanding */
 	struct placement *placement; /* home only */
 	GPtrArray *endpoints;	     /* char *: endpoint addresses */
 	enum service_kind kind;
@@ -60,9 +61,9 @@
 /* A ticket that this node, as home, has queued or granted. */
 struct home_ticket {
 	uint64_t ticket;
-	uint64_t incarnation; /* of the asker */
-	char *asker;	      /* name of the asker */
-	char *asker_address;  /* peer address; NULL: this node */
+	uint64_t incarnation;	 /* of the asker */
+	char *requester;	 /* name of the asker */
+	char *requester_address; /* peer address; NULL: this node */
 	struct shard *shard;
 	char *endpoint; /* NULL while queued */
 };
@@ -76,27 +77,27 @@
 	uint64_t next_ticket;
 	uint64_t next_kv_id;
 	int64_t now_us;
-	int64_t settled_us;	     /* after a pause: no dispatch before */
+	int64_t dispatch_from_us;    /* after a pause: no dispatch before */
 	int64_t drain_check_from_us; /* after a late step: no stop before */
 	struct action_list *actions; /* output of the current step */
 
 	struct config *config; /* NULL before the first one */
 	GBytes *config_document;
-	int64_t kv_heard_us; /* last contact with the key-value service */
+	int64_t kv_contact_us; /* last contact with the key-value service */
 	int64_t started_us;
 	uint64_t config_kv_id; /* pending read of the configuration; 0: none */
 	int64_t config_read_us;
-	int64_t config_asked_us; /* when a copy was requested; 0: none */
-	bool config_is_absent;	 /* none stored yet; the watch delivers it */
+	int64_t config_requested_us; /* when a copy was requested; 0: none */
+	bool config_is_absent; /* none stored yet; the watch delivers it */
 	bool watching;
 
 	struct membership *membership;
 	uint64_t epoch_seen;
 	struct holder *own_entry; /* registration in the key-value service */
-	int64_t register_us;
+	int64_t register_from_us;
 	int64_t next_list_us;
 	uint64_t list_kv_id; /* pending read of all entries; 0: none */
-	uint32_t alone_lists;
+	uint32_t alone_list_count;
 	bool is_registered; /* state that was last logged */
 	bool draining;
 	bool stopped;
@@ -116,7 +117,7 @@
 	GPtrArray *rollouts; /* struct node_rollout */
 	int64_t next_limits_us;
 	int64_t claim_lease;
-	int64_t claim_lease_us; /* when the lease was granted */
+	int64_t claim_lease_granted_us; /* when the lease was granted */
 	uint64_t claim_lease_kv_id;
 
 	GPtrArray *shards;	    /* struct shard */
@@ -129,7 +130,7 @@
 	int64_t next_poll_us;
 	int64_t next_progress_us;
 	int32_t progress_count;
-	int32_t progress_full; /* number of next reports to send in full */
+	int32_t full_progress_left; /* number of next reports to send in full */
 };
 
 /*
@@ -139,7 +140,7 @@
 #define NODE_RETRY_AFTER_US G_USEC_PER_SEC
 
 /* How long a peer's announcement of a leaving endpoint is valid. */
-#define PEER_LEAVING_US (30 * G_USEC_PER_SEC)
+#define PEER_LEAVING_TTL_US (30 * G_USEC_PER_SEC)
 
 /* Sources that mark an endpoint as leaving; one is enough. */
 enum leaving_source {
@@ -151,12 +152,12 @@
 };
 
 struct leaving_mark {
-	uint32_t sources;      /* bits of enum leaving_source */
-	int64_t peer_until_us; /* when LEAVING_PEER expires */
+	uint32_t sources;	 /* bits of enum leaving_source */
+	int64_t peer_expires_us; /* when LEAVING_PEER expires */
 };
 
 /* node_call.c */
-uint64_t node_fingerprint(const struct request *request);
+uint64_t request_fingerprint(const struct request *request);
 void node_call_receive(struct node *node, const struct event_call *event);
 void node_call_disconnect(struct node *node, uint64_t id);
 void node_call_flow(struct node *node, const struct event_call_flow *event);
@@ -164,7 +165,7 @@
 void node_call_arm_timer(struct node *node, struct call *call);
 void node_call_set_state(struct node *node, struct call *call,
 			 enum call_state state);
-void node_call_drop(struct node *node, struct call *call);
+void node_call_remove(struct node *node, struct call *call);
 void node_call_each(struct node *node,
 		    void (*visit)(struct node *node, struct call *call));
 
@@ -185,9 +186,10 @@
 bool node_id_receive(struct node *node, struct call *call);
 void node_id_forward(struct node *node, struct call *call,
 		     const struct member *member);
-void node_id_dispatched(struct call *call);
-enum run node_id_run(const struct node *node, const struct request *request,
-		     const char *organisation);
+void node_id_mark_dispatched(struct call *call);
+enum run node_id_run_state(const struct node *node,
+			   const struct request *request,
+			   const char *organisation);
 const struct member *node_find_incarnation(const struct node *node,
 					   const char *name,
 					   uint64_t incarnation);
@@ -197,9 +199,9 @@
 bool node_claim_kv(struct node *node, const struct kv_answer *answer);
 
 /* node_outcome.c */
-bool node_outcome_repeat(struct node *node, struct call *call,
-			 struct outcome *outcome);
-void node_outcome_settle(struct node *node, struct call *call);
+bool node_outcome_handle_repeat(struct node *node, struct call *call,
+				struct outcome *outcome);
+void node_outcome_answer_waiting(struct node *node, struct call *call);
 void node_outcome_refuse(struct node *node, struct call *call,
 			 enum refusal refusal, enum run run,
 			 int64_t retry_after_us);
@@ -210,19 +212,20 @@
 void node_place_withdraw(struct node *node, struct call *call);
 void node_place_release(struct node *node, struct call *call,
 			enum release_outcome outcome);
-void node_place_placed(struct node *node, uint64_t ticket,
-		       const char *endpoint);
+void node_place_granted(struct node *node, uint64_t ticket,
+			const char *endpoint);
 void node_place_refused(struct node *node, uint64_t ticket,
 			enum refusal refusal, int64_t retry_after_us);
 void node_place_rehome(struct node *node);
-struct length_estimate *node_lengths(struct node *node, const char *service);
-void node_place_fill(struct node *node, const struct call *call,
-		     struct placement_request *request);
+struct length_estimate *node_length_estimate(struct node *node,
+					     const char *service);
+void node_place_fill_request(struct node *node, const struct call *call,
+			     struct placement_request *request);
 bool node_is_home(const struct node *node, const char *home);
 const struct member *node_find_home(const struct node *node, const char *home);
 struct shard *node_call_shard(struct node *node, const struct call *call);
-bool node_service_has(const struct node *node, const char *service,
-		      const char *endpoint);
+bool node_service_has_endpoint(const struct node *node, const char *service,
+			       const char *endpoint);
 bool node_call_is_placed(const struct call *call);
 
 /* node_share.c */
@@ -254,8 +257,8 @@
 			 bool keep_running);
 bool node_attempt_is_quarantined(struct node *node, struct call *call);
 void node_attempt_retry(struct node *node, struct call *call);
-void node_attempt_peer_crash(struct node *node,
-			     const struct peer_quarantine *report);
+void node_attempt_receive_crash(struct node *node,
+				const struct peer_quarantine *report);
 
 /* node_shard.c */
 void node_shard_rebuild(struct node *node);
@@ -277,8 +280,8 @@
 		       enum release_outcome outcome, int64_t tokens);
 void node_home_progress(struct node *node, const struct peer_message *message);
 void node_home_step(struct node *node);
-void node_home_poll(struct node *node);
-void node_home_load(struct node *node, const struct event_load *event);
+void node_home_poll_load(struct node *node);
+void node_home_update_load(struct node *node, const struct event_load *event);
 int64_t node_home_next_due_us(const struct node *node);
 void home_ticket_destroy(gpointer data);
 
@@ -316,8 +319,8 @@
 bool node_config_kv(struct node *node, const struct kv_answer *answer);
 void node_config_watch(struct node *node, const struct event_kv_watch *event);
 void node_config_peer(struct node *node, const struct peer_message *message);
-void node_config_check_members(struct node *node,
-			       const struct peer_message *message);
+void node_config_check_probe(struct node *node,
+			     const struct peer_message *message);
 bool node_config_is_isolated(const struct node *node);
 int64_t node_config_revision(const struct node *node);
 
--- a/core/once/outcome_store.h
+++ b/core/once/outcome_store.h
@@ -17,11 +17,11 @@
  */
 
 enum outcome_state {
-	OUTCOME_NOT_RUN, /* nothing was sent, or it is idempotent: may run */
-	OUTCOME_PENDING, /* a call is in progress; no attempt is running */
-	OUTCOME_RUNNING, /* sent to an endpoint, which may have begun it */
-	OUTCOME_WHOLE,	 /* answered to the end */
-	OUTCOME_UNKNOWN	 /* may have run; its result is unknown */
+	OUTCOME_NOT_RUN,  /* nothing was sent, or it is idempotent: may run */
+	OUTCOME_PENDING,  /* a call is in progress; no attempt is running */
+	OUTCOME_RUNNING,  /* sent to an endpoint, which may have begun it */
+	OUTCOME_COMPLETE, /* answered to the end */
+	OUTCOME_UNKNOWN	  /* may have run; its result is unknown */
 };
 
 struct outcome_chunk {
--- a/core/placement/admission.c
+++ b/core/placement/admission.c
@@ -97,27 +97,27 @@
 
 static gint compare_tokens_left(gconstpointer a, gconstpointer b)
 {
-	const struct admission_known *x = a;
-	const struct admission_known *y = b;
+	const struct admission_known_run *x = a;
+	const struct admission_known_run *y = b;
 
 	return x->left > y->left ? -1 : x->left < y->left;
 }
 
 /*
  * Exact peak of memory in tokens if the ends of all requests (struct
- * admission_known) are known. Just before each end, all requests that end
+ * admission_known_run) are known. Just before each end, all requests that end
  * later still hold their memory, and each has grown by the same number of
  * tokens. Sorts the array.
  */
-double admission_known_peak(GArray *known)
+double admission_exact_peak(GArray *known)
 {
 	double peak = 0;
 	double held = 0;
 
 	g_array_sort(known, compare_tokens_left);
 	for (guint i = 0; i < known->len; i++) {
-		const struct admission_known *item =
-			&g_array_index(known, struct admission_known, i);
+		const struct admission_known_run *item =
+			&g_array_index(known, struct admission_known_run, i);
 
 		held += (double)item->held;
 		peak = MAX(peak, held + (double)(i + 1) * (double)item->left);
--- a/core/placement/admission.h
+++ b/core/placement/admission.h
@@ -49,12 +49,12 @@
 		      const struct admission_margin *margin);
 
 /* Memory of a request whose end is known, in tokens. */
-struct admission_known {
+struct admission_known_run {
 	int64_t held; /* at present */
 	int64_t left; /* still to be generated */
 };
 
-double admission_known_peak(GArray *known);
+double admission_exact_peak(GArray *known);
 
 G_END_DECLS
 
--- a/core/placement/endpoint_book.c
+++ b/core/placement/endpoint_book.c
@@ -31,7 +31,7 @@
 	struct endpoint_book *book = g_new0(struct endpoint_book, 1);
 
 	book->address = g_strdup(address);
-	book->sharers = 1;
+	book->sharing_nodes = 1;
 	book->calls = g_ptr_array_new();
 	book->prefixes =
 		g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, NULL);
@@ -77,10 +77,11 @@
 static void endpoint_book_fill_demand(const struct endpoint_book *book,
 				      struct placed_call *call, int64_t now_us)
 {
-	call->demand_made = endpoint_book_estimate_tokens(book, call, now_us);
-	call->demand_us = now_us;
+	call->demand_at_tokens =
+		endpoint_book_estimate_tokens(book, call, now_us);
+	call->demand_filled_us = now_us;
 	admission_demand_fill(&call->demand, length_class_curve(call->cls),
-			      call->prompt_tokens, call->demand_made,
+			      call->prompt_tokens, call->demand_at_tokens,
 			      call->max_tokens);
 }
 
@@ -114,17 +115,18 @@
 {
 	if (tokens < MIN_OBSERVED_TOKENS)
 		return;
-	pace_observe(&book->pace, (int32_t)book->calls->len * book->sharers,
-		     tokens, elapsed_us);
+	pace_observe(&book->pace,
+		     (int32_t)book->calls->len * book->sharing_nodes, tokens,
+		     elapsed_us);
 	book->interval_us =
 		book->interval_us * INTERVAL_DECAY +
 		(double)elapsed_us / (double)tokens * (1 - INTERVAL_DECAY);
 }
 
 /* Records the output tokens of a call, unless more are already known. */
-void endpoint_book_progress(struct endpoint_book *book,
-			    struct placed_call *call, int64_t tokens,
-			    int64_t now_us)
+void endpoint_book_record_progress(struct endpoint_book *book,
+				   struct placed_call *call, int64_t tokens,
+				   int64_t now_us)
 {
 	if (tokens <= call->made)
 		return;
@@ -144,9 +146,9 @@
 {
 	int64_t made = endpoint_book_estimate_tokens(book, call, now_us);
 
-	return made - call->demand_made >
+	return made - call->demand_at_tokens >
 		       REFILL_GROWTH_TOKENS + made / REFILL_GROWTH_DIVISOR ||
-	       now_us - call->demand_us > DEMAND_REFRESH_US;
+	       now_us - call->demand_filled_us > DEMAND_REFRESH_US;
 }
 
 /*
@@ -181,7 +183,7 @@
 static void admission_known_append(GArray *known,
 				   const struct placed_call *call, int64_t made)
 {
-	struct admission_known item = {
+	struct admission_known_run item = {
 		.held = call->prompt_tokens + made,
 		.left = MAX(call->true_tokens - made, 1),
 	};
@@ -194,7 +196,7 @@
 				const struct placed_call *extra, int64_t now_us)
 {
 	GArray *known =
-		g_array_new(FALSE, FALSE, sizeof(struct admission_known));
+		g_array_new(FALSE, FALSE, sizeof(struct admission_known_run));
 	double peak;
 
 	admission_known_append(known, extra, 0);
@@ -206,7 +208,7 @@
 			known, call,
 			endpoint_book_estimate_tokens(book, call, now_us));
 	}
-	peak = admission_known_peak(known);
+	peak = admission_exact_peak(known);
 	g_array_unref(known);
 	return peak;
 }
@@ -239,7 +241,7 @@
 {
 	int64_t excess = tokens_used - (int64_t)book->load.mean[0];
 
-	if (tokens_used < 0 || book->sharers > 1)
+	if (tokens_used < 0 || book->sharing_nodes > 1)
 		return;
 	if (book->foreign_reports == 0)
 		book->foreign_min = excess;
@@ -257,17 +259,18 @@
  * CLOCK_RESET_US: the endpoint has then restarted with a new clock, and the
  * report is not an old one.
  */
-enum report_verdict endpoint_book_report(struct endpoint_book *book,
-					 const struct load_report *report,
-					 int64_t now_us, int64_t *preempted)
+enum report_result endpoint_book_apply_report(struct endpoint_book *book,
+					      const struct load_report *report,
+					      int64_t now_us,
+					      int64_t *preempted)
 {
 	*preempted = 0;
 	if (load_report_is_implausible(book, report))
-		return REPORT_ABSURD;
+		return REPORT_IMPLAUSIBLE;
 	if (book->report_us > 0 &&
 	    report->reported_at_us <= book->report.reported_at_us &&
 	    now_us - book->report_us < CLOCK_RESET_US)
-		return REPORT_OLDER;
+		return REPORT_OUTDATED;
 	if (book->report_us > 0 && book->report.preemptions_total >= 0 &&
 	    report->preemptions_total > book->report.preemptions_total)
 		*preempted = report->preemptions_total -
@@ -278,7 +281,7 @@
 	book->report = *report;
 	book->report_us = now_us;
 	endpoint_book_estimate_foreign(book, report->tokens_used);
-	return REPORT_TAKEN;
+	return REPORT_ACCEPTED;
 }
 
 static void endpoint_book_evict_prefix(struct endpoint_book *book)
@@ -294,8 +297,8 @@
  * MAX_PREFIXES are kept; the one recorded longest ago is evicted first. A
  * prefix_hash of 0 means no prefix and is ignored.
  */
-void endpoint_book_prefix(struct endpoint_book *book, uint64_t prefix_hash,
-			  bool cached)
+void endpoint_book_set_prefix(struct endpoint_book *book, uint64_t prefix_hash,
+			      bool cached)
 {
 	GList *link = g_hash_table_lookup(book->prefixes, &prefix_hash);
 	uint64_t *stored;
--- a/core/placement/endpoint_book.h
+++ b/core/placement/endpoint_book.h
@@ -39,10 +39,10 @@
 	int64_t made;	 /* output tokens at the last progress */
 	int64_t counted; /* tokens in the length estimate */
 	int64_t progress_us;
-	double charged; /* tokens charged to its organisation */
+	double charged_tokens; /* tokens charged to its organisation */
 	struct admission_demand demand;
-	int64_t demand_made; /* output tokens when demand was filled */
-	int64_t demand_us;   /* when demand was filled */
+	int64_t demand_at_tokens; /* output tokens when demand was filled */
+	int64_t demand_filled_us; /* when demand was filled */
 };
 
 struct endpoint_book {
@@ -51,7 +51,7 @@
 	int64_t capacity_tokens;
 	bool capacity_configured;
 	int32_t slots;
-	int32_t sharers; /* nodes assumed to hold as many calls there */
+	int32_t sharing_nodes; /* nodes assumed to hold as many calls there */
 	bool leaving;
 	bool reported_leaving;
 	GPtrArray *calls; /* struct placed_call */
@@ -72,7 +72,7 @@
 };
 
 /* What was done with a load report. */
-enum report_verdict { REPORT_TAKEN, REPORT_OLDER, REPORT_ABSURD };
+enum report_result { REPORT_ACCEPTED, REPORT_OUTDATED, REPORT_IMPLAUSIBLE };
 
 struct endpoint_book *endpoint_book_create(const char *address, int64_t step_us,
 					   int64_t now_us);
@@ -80,9 +80,9 @@
 void endpoint_book_add(struct endpoint_book *book, struct placed_call *call,
 		       int64_t now_us);
 void endpoint_book_remove(struct endpoint_book *book, struct placed_call *call);
-void endpoint_book_progress(struct endpoint_book *book,
-			    struct placed_call *call, int64_t tokens,
-			    int64_t now_us);
+void endpoint_book_record_progress(struct endpoint_book *book,
+				   struct placed_call *call, int64_t tokens,
+				   int64_t now_us);
 void endpoint_book_refresh(struct endpoint_book *book, int64_t now_us);
 double endpoint_book_peak(const struct endpoint_book *book,
 			  const struct placed_call *extra,
@@ -90,11 +90,12 @@
 double endpoint_book_known_peak(const struct endpoint_book *book,
 				const struct placed_call *extra,
 				int64_t now_us);
-enum report_verdict endpoint_book_report(struct endpoint_book *book,
-					 const struct load_report *report,
-					 int64_t now_us, int64_t *preempted);
-void endpoint_book_prefix(struct endpoint_book *book, uint64_t prefix_hash,
-			  bool cached);
+enum report_result endpoint_book_apply_report(struct endpoint_book *book,
+					      const struct load_report *report,
+					      int64_t now_us,
+					      int64_t *preempted);
+void endpoint_book_set_prefix(struct endpoint_book *book, uint64_t prefix_hash,
+			      bool cached);
 bool endpoint_book_has_prefix(const struct endpoint_book *book,
 			      uint64_t prefix_hash);
 int64_t endpoint_book_estimate_tokens(const struct endpoint_book *book,
--- a/core/placement/length_estimate.c
+++ b/core/placement/length_estimate.c
@@ -62,7 +62,7 @@
 
 	if (n < SINGLE_TOKEN_BINS)
 		return (int32_t)MAX(n, 0);
-	if (n > LENGTH_LONGEST)
+	if (n > LENGTH_MAX_TOKENS)
 		return LENGTH_BINS - 1;
 	octave = floor_log2(n);
 	return SINGLE_TOKEN_BINS + (octave - 3) * BINS_PER_OCTAVE +
@@ -187,10 +187,10 @@
  * or, if prefix_hash is 0, of its prompts in the same octave of prompt tokens.
  * The caller releases it with length_class_unref.
  */
-struct length_class *length_estimate_class(struct length_estimate *estimate,
-					   const char *organisation,
-					   int64_t prompt_tokens,
-					   uint64_t prefix_hash)
+struct length_class *length_estimate_get_class(struct length_estimate *estimate,
+					       const char *organisation,
+					       int64_t prompt_tokens,
+					       uint64_t prefix_hash)
 {
 	int32_t size = MIN(floor_log2(MAX(prompt_tokens, 1)), PROMPT_SIZES - 1);
 	struct length_class *by_size;
@@ -264,7 +264,7 @@
  * of its parents: 0 without any, rising towards 1. An answer counts as soon as
  * it has passed its first token.
  */
-double length_class_known(const struct length_class *cls)
+double length_class_confidence(const struct length_class *cls)
 {
 	return cls->reached[1] / (cls->reached[1] + CONFIDENCE_ANSWERS);
 }
@@ -346,7 +346,7 @@
 	int64_t start = length_bin_start(bin);
 	int64_t width = length_bin_start(bin + 1) - start;
 	double fraction =
-		(double)(MIN(n, LENGTH_LONGEST) - start) / (double)width;
+		(double)(MIN(n, LENGTH_MAX_TOKENS) - start) / (double)width;
 
 	return curve->survival[bin] +
 	       (curve->survival[bin + 1] - curve->survival[bin]) * fraction;
@@ -356,15 +356,15 @@
  * Returns the mean number of tokens that follow after the first made ones.
  * max_tokens limits the length of the answer; 0 means no limit.
  */
-double length_curve_mean_left(const struct length_curve *curve, int64_t made,
-			      int64_t max_tokens)
+double length_curve_mean_remaining(const struct length_curve *curve,
+				   int64_t made, int64_t max_tokens)
 {
 	double now = length_curve_survival(curve, made);
 	double left = 0;
 	int64_t from = made;
 
 	if (max_tokens <= 0)
-		max_tokens = LENGTH_LONGEST;
+		max_tokens = LENGTH_MAX_TOKENS;
 	for (int32_t bin = length_bin(made); bin < LENGTH_BINS; bin++) {
 		int64_t to = MIN(length_bin_start(bin + 1), max_tokens);
 
--- a/core/placement/length_estimate.h
+++ b/core/placement/length_estimate.h
@@ -19,7 +19,7 @@
  * grow beyond the old lengths.
  */
 #define LENGTH_BINS 72
-#define LENGTH_LONGEST 524287
+#define LENGTH_MAX_TOKENS 524287
 
 struct length_estimate_options {
 	double memory;	     /* answers over which a bin decays */
@@ -35,13 +35,13 @@
 struct length_estimate *
 length_estimate_create(const struct length_estimate_options *options);
 void length_estimate_destroy(struct length_estimate *estimate);
-struct length_class *length_estimate_class(struct length_estimate *estimate,
-					   const char *organisation,
-					   int64_t prompt_tokens,
-					   uint64_t prefix_hash);
+struct length_class *length_estimate_get_class(struct length_estimate *estimate,
+					       const char *organisation,
+					       int64_t prompt_tokens,
+					       uint64_t prefix_hash);
 void length_class_unref(struct length_class *cls);
 
-double length_class_known(const struct length_class *cls);
+double length_class_confidence(const struct length_class *cls);
 size_t length_estimate_class_count(const struct length_estimate *estimate);
 
 double length_estimate_shift(const struct length_estimate *estimate);
@@ -57,8 +57,8 @@
 };
 const struct length_curve *length_class_curve(struct length_class *cls);
 double length_curve_survival(const struct length_curve *curve, int64_t n);
-double length_curve_mean_left(const struct length_curve *curve, int64_t made,
-			      int64_t max_tokens);
+double length_curve_mean_remaining(const struct length_curve *curve,
+				   int64_t made, int64_t max_tokens);
 
 G_END_DECLS
 
--- a/core/placement/placement.c
+++ b/core/placement/placement.c
@@ -40,7 +40,7 @@
 		options->common_deviation_by_shift = NO_COMMON_BY_SHIFT;
 	}
 	if (options->step_us <= 0)
-		options->step_us = PLACEMENT_STEP_US;
+		options->step_us = PLACEMENT_TOKEN_INTERVAL_US;
 	if (options->max_waiting <= 0)
 		options->max_waiting = DEFAULT_MAX_WAITING;
 	if (options->common_deviation == 0)
@@ -132,8 +132,8 @@
 	if (placement->options.kind == SERVICE_PLAIN)
 		return 1;
 	return (double)call->prompt_tokens +
-	       length_curve_mean_left(length_class_curve(call->cls), call->made,
-				      call->max_tokens);
+	       length_curve_mean_remaining(length_class_curve(call->cls),
+					   call->made, call->max_tokens);
 }
 
 static void placed_call_set_order(const struct placement *placement,
@@ -164,7 +164,7 @@
 	 * lengths would be learned too late.
 	 */
 	if (((double)call->prompt_tokens +
-	     left * length_class_known(call->cls)) *
+	     left * length_class_confidence(call->cls)) *
 		    SHORT_DIVISOR >
 	    (double)placement->largest_tokens)
 		entry->lane = QUEUE_LONG;
@@ -175,8 +175,8 @@
 	admission_demand_fill(&call->demand, length_class_curve(call->cls),
 			      call->prompt_tokens, call->made,
 			      call->max_tokens);
-	call->demand_made = call->made;
-	call->demand_us = now_us;
+	call->demand_at_tokens = call->made;
+	call->demand_filled_us = now_us;
 }
 
 /*
@@ -186,7 +186,7 @@
  */
 void placement_refresh_demand(struct placed_call *call, int64_t now_us)
 {
-	if (now_us - call->demand_us > DEMAND_MAX_AGE_US)
+	if (now_us - call->demand_filled_us > DEMAND_MAX_AGE_US)
 		placed_call_fill_demand(call, now_us);
 }
 
@@ -202,17 +202,18 @@
 		return NULL;
 	call = g_new0(struct placed_call, 1);
 	call->ticket = request->ticket;
-	call->prompt_tokens = CLAMP(request->prompt_tokens, 1, LENGTH_LONGEST);
+	call->prompt_tokens =
+		CLAMP(request->prompt_tokens, 1, LENGTH_MAX_TOKENS);
 	call->max_tokens = MAX(request->max_tokens, 0);
 	call->true_tokens = request->true_tokens;
 	call->deadline_us = request->deadline_us;
 	call->prefix_hash = request->prefix_hash;
 	call->avoid_hash = request->avoid_hash;
-	call->made = CLAMP(made, 0, LENGTH_LONGEST);
+	call->made = CLAMP(made, 0, LENGTH_MAX_TOKENS);
 	call->counted = call->made;
-	call->cls =
-		length_estimate_class(placement->lengths, name,
-				      call->prompt_tokens, call->prefix_hash);
+	call->cls = length_estimate_get_class(placement->lengths, name,
+					      call->prompt_tokens,
+					      call->prefix_hash);
 	call->entry.organisation = wait_queue_organisation(
 		placement->queue, name, request->weight);
 	call->entry.priority = CLAMP(request->priority, 0, 9);
@@ -259,11 +260,12 @@
 {
 	struct queue_organisation *organisation = call->entry.organisation;
 
-	call->charged = call->entry.tokens;
+	call->charged_tokens = call->entry.tokens;
 	endpoint_book_add(book, call, now_us);
 	endpoint_health_count_placed(&book->health);
-	endpoint_book_prefix(book, call->prefix_hash, true);
-	wait_queue_charge(placement->queue, organisation, call->charged, true);
+	endpoint_book_set_prefix(book, call->prefix_hash, true);
+	wait_queue_charge(placement->queue, organisation, call->charged_tokens,
+			  true);
 }
 
 /*
@@ -271,9 +273,9 @@
  * local share. A call that waits, or is placed on another endpoint, moves to
  * this one. An unknown address is counted and ignored.
  */
-void placement_hold(struct placement *placement,
-		    const struct placement_request *request,
-		    const char *address, int64_t tokens, int64_t now_us)
+void placement_record_grant(struct placement *placement,
+			    const struct placement_request *request,
+			    const char *address, int64_t tokens, int64_t now_us)
 {
 	struct endpoint_book *book =
 		placement_find_endpoint(placement, address);
--- a/core/placement/placement.h
+++ b/core/placement/placement.h
@@ -19,7 +19,7 @@
  * node that has no home runs one for its local share.
  */
 
-#define PLACEMENT_STEP_US 28000 /* target interval between tokens */
+#define PLACEMENT_TOKEN_INTERVAL_US 28000 /* target interval between tokens */
 
 enum placement_policy {
 	PLACEMENT_NAIVE,  /* fewest outstanding requests, no admission */
@@ -99,15 +99,16 @@
 		      const struct placement_request *request, int64_t now_us);
 void placement_withdraw(struct placement *placement, uint64_t ticket,
 			int64_t now_us);
-void placement_hold(struct placement *placement,
-		    const struct placement_request *request,
-		    const char *address, int64_t tokens, int64_t now_us);
-void placement_progress(struct placement *placement, uint64_t ticket,
-			int64_t tokens, int64_t now_us);
+void placement_record_grant(struct placement *placement,
+			    const struct placement_request *request,
+			    const char *address, int64_t tokens,
+			    int64_t now_us);
+void placement_report_progress(struct placement *placement, uint64_t ticket,
+			       int64_t tokens, int64_t now_us);
 void placement_release(struct placement *placement, uint64_t ticket,
 		       enum release_outcome outcome, int64_t tokens,
 		       int64_t now_us);
-void placement_prefix_cached(struct placement *placement, const char *address,
+void placement_report_prefix(struct placement *placement, const char *address,
 			     uint64_t prefix_hash, bool cached);
 
 /* Counters since creation, for tests, benchmarks and the dump. */
--- a/core/placement/placement_choose.c
+++ b/core/placement/placement_choose.c
@@ -165,7 +165,7 @@
 				 const struct endpoint_book *book,
 				 const struct placed_call *call)
 {
-	int32_t batch = (int32_t)book->calls->len * book->sharers + 1;
+	int32_t batch = (int32_t)book->calls->len * book->sharing_nodes + 1;
 
 	if (batch <= MIN_BATCH)
 		return true;
--- a/core/placement/placement_endpoint.c
+++ b/core/placement/placement_endpoint.c
@@ -38,7 +38,7 @@
 		book = endpoint_book_create(endpoint->address,
 					    placement->options.step_us, now_us);
 		book->hash = home_hash(endpoint->address, "", 0);
-		book->sharers = placement->share_divisor;
+		book->sharing_nodes = placement->share_divisor;
 		g_ptr_array_add(placement->books, book);
 		g_hash_table_insert(placement->by_address, book->address, book);
 	}
@@ -94,7 +94,7 @@
 		struct endpoint_book *book =
 			g_ptr_array_index(placement->books, i);
 
-		book->sharers = placement->share_divisor;
+		book->sharing_nodes = placement->share_divisor;
 	}
 	placement->recheck = true;
 }
@@ -133,8 +133,8 @@
 		return;
 	endpoint_health_report_poll(&book->health, true, now_us);
 	placement->recheck = true;
-	switch (endpoint_book_report(book, report, now_us, &preempted)) {
-	case REPORT_TAKEN:
+	switch (endpoint_book_apply_report(book, report, now_us, &preempted)) {
+	case REPORT_ACCEPTED:
 		placement->counts.reports_taken++;
 		placement->largest_tokens =
 			MAX(placement->largest_tokens, book->capacity_tokens);
@@ -142,10 +142,10 @@
 		    2 * (int64_t)book->calls->len + PREEMPTED_SLACK)
 			placement_widen_margin(placement, preempted);
 		break;
-	case REPORT_OLDER:
+	case REPORT_OUTDATED:
 		placement->counts.reports_older++;
 		break;
-	case REPORT_ABSURD:
+	case REPORT_IMPLAUSIBLE:
 		placement->counts.reports_absurd++;
 		break;
 	}
@@ -164,12 +164,12 @@
 }
 
 /* Hint that an endpoint caches the prefix of a prompt, or no longer does. */
-void placement_prefix_cached(struct placement *placement, const char *address,
+void placement_report_prefix(struct placement *placement, const char *address,
 			     uint64_t prefix_hash, bool cached)
 {
 	struct endpoint_book *book =
 		placement_find_endpoint(placement, address);
 
 	if (book)
-		endpoint_book_prefix(book, prefix_hash, cached);
+		endpoint_book_set_prefix(book, prefix_hash, cached);
 }
--- a/core/placement/placement_release.c
+++ b/core/placement/placement_release.c
@@ -20,15 +20,15 @@
  * Notes how many tokens a placed request has generated. Ignored if the request
  * is unknown or waiting, or if the count is not a plausible increase.
  */
-void placement_progress(struct placement *placement, uint64_t ticket,
-			int64_t tokens, int64_t now_us)
+void placement_report_progress(struct placement *placement, uint64_t ticket,
+			       int64_t tokens, int64_t now_us)
 {
 	struct placed_call *call = placement_find_call(placement, ticket);
 
 	if (!call || !call->book || tokens <= call->made ||
-	    tokens > LENGTH_LONGEST)
+	    tokens > LENGTH_MAX_TOKENS)
 		return;
-	endpoint_book_progress(call->book, call, tokens, now_us);
+	endpoint_book_record_progress(call->book, call, tokens, now_us);
 	endpoint_health_report_success(&call->book->health, now_us);
 	placement_count_tokens(call, tokens);
 }
@@ -38,8 +38,8 @@
 {
 	bool cut = call->max_tokens > 0 && tokens >= call->max_tokens;
 
-	tokens = MIN(tokens, LENGTH_LONGEST);
-	if (outcome == RELEASE_WHOLE && !cut && tokens > 0)
+	tokens = MIN(tokens, LENGTH_MAX_TOKENS);
+	if (outcome == RELEASE_COMPLETE && !cut && tokens > 0)
 		length_class_count_end(call->cls, call->counted, tokens);
 	else
 		placement_count_tokens(call, tokens);
@@ -50,11 +50,11 @@
 				   enum release_outcome outcome, int64_t now_us)
 {
 	switch (outcome) {
-	case RELEASE_WHOLE:
+	case RELEASE_COMPLETE:
 		endpoint_health_report_success(&book->health, now_us);
 		break;
 	case RELEASE_FAILED:
-	case RELEASE_LOST:
+	case RELEASE_UNREACHABLE:
 		if (endpoint_health_report_failure(&book->health))
 			placement_put_aside(placement, book, now_us);
 		break;
@@ -114,11 +114,11 @@
 	if (placement->options.kind == SERVICE_GENERATION) {
 		used = (double)(call->prompt_tokens + tokens);
 		placement_learn_length(call, outcome, tokens);
-	} else if (outcome == RELEASE_WHOLE) {
+	} else if (outcome == RELEASE_COMPLETE) {
 		placement_learn_plain(placement, call, now_us);
 	}
 	wait_queue_charge(placement->queue, call->entry.organisation,
-			  used - call->charged, false);
+			  used - call->charged_tokens, false);
 	placement_count_ended(placement, call, used, now_us);
 	placement_learn_health(placement, book, outcome, now_us);
 	placement_remove_call(placement, call);
--- a/core/placement/placement_step.c
+++ b/core/placement/placement_step.c
@@ -185,7 +185,7 @@
 		return tokens >= call->true_tokens ? 1 : 0;
 	if (call->max_tokens > 0 && tokens >= call->max_tokens)
 		return 1;
-	return 1 - length_class_known(call->cls) *
+	return 1 - length_class_confidence(call->cls) *
 			   length_curve_survival(length_class_curve(call->cls),
 						 tokens);
 }
--- a/core/plan/plan.c
+++ b/core/plan/plan.c
@@ -254,7 +254,8 @@
  * Records the confirming operator and the time in the result and serialises the
  * document anew.
  */
-void plan_sign(struct plan *plan, const char *confirmed_by, int64_t now_us)
+void plan_set_confirmer(struct plan *plan, const char *confirmed_by,
+			int64_t now_us)
 {
 	GPtrArray *history = plan->result->history;
 	struct config_confirmation *own =
@@ -314,7 +315,7 @@
 {
 	plan_describe(plan, base);
 	plan_add_history(plan, base);
-	plan_sign(plan, plan->operator_name, plan->created_us);
+	plan_set_confirmer(plan, plan->operator_name, plan->created_us);
 	return plan_check_document(plan, error);
 }
 
@@ -416,15 +417,15 @@
 			g_ptr_array_index(capacities, i);
 
 		json_builder_begin_object(builder);
-		json_writer_text(builder, "service", capacity->service);
-		json_writer_number(builder, "endpoints_before",
-				   capacity->endpoints_before);
-		json_writer_number(builder, "endpoints_after",
-				   capacity->endpoints_after);
-		json_writer_number(builder, "tokens_before",
-				   capacity->tokens_before);
-		json_writer_number(builder, "tokens_after",
-				   capacity->tokens_after);
+		json_writer_add_string(builder, "service", capacity->service);
+		json_writer_add_int(builder, "endpoints_before",
+				    capacity->endpoints_before);
+		json_writer_add_int(builder, "endpoints_after",
+				    capacity->endpoints_after);
+		json_writer_add_int(builder, "tokens_before",
+				    capacity->tokens_before);
+		json_writer_add_int(builder, "tokens_after",
+				    capacity->tokens_after);
 		json_builder_end_object(builder);
 	}
 	json_builder_end_array(builder);
@@ -439,15 +440,15 @@
 	JsonBuilder *builder = json_builder_new();
 
 	json_builder_begin_object(builder);
-	json_writer_text(builder, "plan_id", plan->id);
-	json_writer_text(builder, "operator", plan->operator_name);
-	json_writer_number(builder, "base_revision", plan->base_revision);
+	json_writer_add_string(builder, "plan_id", plan->id);
+	json_writer_add_string(builder, "operator", plan->operator_name);
+	json_writer_add_int(builder, "base_revision", plan->base_revision);
 	if (plan->keep_us > 0)
-		json_writer_number(builder, "stale_after_s",
-				   plan->keep_us / G_USEC_PER_SEC);
+		json_writer_add_int(builder, "stale_after_s",
+				    plan->keep_us / G_USEC_PER_SEC);
 	add_lines(builder, "differences", plan->differences);
 	add_lines(builder, "warnings", plan->warnings);
 	add_capacities(builder, plan->capacities);
 	json_builder_end_object(builder);
-	return json_writer_take(builder);
+	return json_writer_finish(builder);
 }
--- a/core/plan/plan.h
+++ b/core/plan/plan.h
@@ -54,7 +54,8 @@
 				  const char *operator_name, int64_t now_us,
 				  struct error *error);
 void plan_destroy(struct plan *plan);
-void plan_sign(struct plan *plan, const char *confirmed_by, int64_t now_us);
+void plan_set_confirmer(struct plan *plan, const char *confirmed_by,
+			int64_t now_us);
 GBytes *plan_format_json(const struct plan *plan);
 
 G_END_DECLS
--- a/core/plan/plan_answer.c
+++ b/core/plan/plan_answer.c
@@ -19,9 +19,9 @@
 	[PLAN_ANSWER_UNKNOWN_PLAN] =
 		{404, "plan_unknown",
 		 "this node does not hold the plan; make a new one"},
-	[PLAN_ANSWER_ELSEWHERE] = {404, "plan_elsewhere",
-				   "another node made the plan; confirm it "
-				   "there, or make a new one"},
+	[PLAN_ANSWER_OTHER_NODE] = {404, "plan_elsewhere",
+				    "another node made the plan; confirm it "
+				    "there, or make a new one"},
 	[PLAN_ANSWER_UNREACHABLE] =
 		{503, "service_unreachable",
 		 "the key-value service cannot be reached and nothing was "
@@ -58,11 +58,11 @@
 		      const char *message, int64_t retry_after_us)
 {
 	json_writer_begin_object(builder, "error");
-	json_writer_text(builder, "code", code);
-	json_writer_text(builder, "message", message);
+	json_writer_add_string(builder, "code", code);
+	json_writer_add_string(builder, "message", message);
 	if (retry_after_us > 0)
-		json_writer_number(builder, "retry_after_ms",
-				   retry_after_us / 1000);
+		json_writer_add_int(builder, "retry_after_ms",
+				    retry_after_us / 1000);
 	json_builder_end_object(builder);
 }
 
@@ -85,27 +85,27 @@
 	JsonBuilder *builder = json_builder_new();
 
 	json_builder_begin_object(builder);
-	json_writer_text(builder, "plan_id", answer->plan_id);
-	json_writer_text(builder, "took_effect",
-			 plan_effect_name(answer->effect));
+	json_writer_add_string(builder, "plan_id", answer->plan_id);
+	json_writer_add_string(builder, "took_effect",
+			       plan_effect_name(answer->effect));
 	if (answer->node)
-		json_writer_text(builder, "node", answer->node);
+		json_writer_add_string(builder, "node", answer->node);
 	if (answer->code == PLAN_ANSWER_DONE) {
-		json_writer_number(builder, "revision", answer->revision);
+		json_writer_add_int(builder, "revision", answer->revision);
 		if (answer->confirmed_by)
-			json_writer_text(builder, "confirmed_by",
-					 answer->confirmed_by);
+			json_writer_add_string(builder, "confirmed_by",
+					       answer->confirmed_by);
 	} else {
 		if (answer->current_revision)
-			json_writer_number(builder, "current_revision",
-					   answer->current_revision);
+			json_writer_add_int(builder, "current_revision",
+					    answer->current_revision);
 		add_error(builder, answers[answer->code].code,
 			  answers[answer->code].message,
 			  answer->retry_after_us);
 	}
 	json_builder_end_object(builder);
 	plan_answer_send_json(call, answers[answer->code].status,
-			      json_writer_take(builder), actions);
+			      json_writer_finish(builder), actions);
 }
 
 static int32_t error_status(const struct error *error)
@@ -133,7 +133,7 @@
 	add_error(builder, error_code_name(error->code), error->detail, 0);
 	json_builder_end_object(builder);
 	plan_answer_send_json(call, error_status(error),
-			      json_writer_take(builder), actions);
+			      json_writer_finish(builder), actions);
 }
 
 static void add_confirmation(JsonBuilder *builder, const struct config *config,
@@ -143,14 +143,15 @@
 		g_ptr_array_index(config->history, i);
 
 	json_builder_begin_object(builder);
-	json_writer_number(builder, "revision",
-			   config_confirmation_revision(config, i));
-	json_writer_number(builder, "base_revision",
-			   confirmation->base_revision);
-	json_writer_text(builder, "plan_id", confirmation->plan_id);
-	json_writer_text(builder, "confirmed_by", confirmation->confirmed_by);
-	json_writer_number(builder, "confirmed_s", confirmation->confirmed_s);
-	json_writer_text(builder, "summary", confirmation->summary);
+	json_writer_add_int(builder, "revision",
+			    config_confirmation_revision(config, i));
+	json_writer_add_int(builder, "base_revision",
+			    confirmation->base_revision);
+	json_writer_add_string(builder, "plan_id", confirmation->plan_id);
+	json_writer_add_string(builder, "confirmed_by",
+			       confirmation->confirmed_by);
+	json_writer_add_int(builder, "confirmed_s", confirmation->confirmed_s);
+	json_writer_add_string(builder, "summary", confirmation->summary);
 	json_builder_end_object(builder);
 }
 
@@ -168,5 +169,5 @@
 		add_confirmation(builder, config, i - 1);
 	json_builder_end_array(builder);
 	json_builder_end_object(builder);
-	return json_writer_take(builder);
+	return json_writer_finish(builder);
 }
--- a/core/plan/plan_answer.h
+++ b/core/plan/plan_answer.h
@@ -17,7 +17,7 @@
 	PLAN_ANSWER_CONFLICT,	  /* another plan was confirmed on its base */
 	PLAN_ANSWER_STALE,	  /* confirmed after more than keep_us */
 	PLAN_ANSWER_UNKNOWN_PLAN, /* not, or no longer, held by this node */
-	PLAN_ANSWER_ELSEWHERE,	  /* another node made the plan */
+	PLAN_ANSWER_OTHER_NODE,	  /* another node made the plan */
 	PLAN_ANSWER_UNREACHABLE,  /* nothing was written; confirm again */
 	PLAN_ANSWER_IN_DOUBT,	  /* may have been written; confirm again */
 	PLAN_ANSWER_BUSY	  /* too many confirm requests wait for it */
--- a/core/plan/plan_book.c
+++ b/core/plan/plan_book.c
@@ -283,9 +283,10 @@
  * if base is NULL. Answers the call with the plan or with an error. The answer
  * to a rollback follows after the earlier configuration has been read.
  */
-void plan_book_plan(struct plan_book *book, uint64_t call, GBytes *intent,
-		    const char *operator_name, const struct config *base,
-		    int64_t now_us, struct action_list *actions)
+void plan_book_create_plan(struct plan_book *book, uint64_t call,
+			   GBytes *intent, const char *operator_name,
+			   const struct config *base, int64_t now_us,
+			   struct action_list *actions)
 {
 	int64_t revision = 0;
 	struct error error;
@@ -347,11 +348,11 @@
 
 	if (parse_plan_id(plan_id, &node_name, &base_revision) &&
 	    strcmp(node_name, book->node_name) != 0) {
-		answer.code = PLAN_ANSWER_ELSEWHERE;
+		answer.code = PLAN_ANSWER_OTHER_NODE;
 		answer.node = node_name;
 	}
-	answer.effect = config_find_plan(in_force, plan_id, base_revision,
-					 &answer.revision);
+	answer.effect = config_find_plan_effect(
+		in_force, plan_id, base_revision, &answer.revision);
 	answer.current_revision = in_force ? in_force->revision : 0;
 	if (answer.effect == PLAN_EFFECT_YES)
 		answer.code = PLAN_ANSWER_DONE;
@@ -383,8 +384,8 @@
 }
 
 /* Answers a call with the confirmations in the configuration's history. */
-void plan_book_history(uint64_t call, const struct config *in_force,
-		       struct action_list *actions)
+void plan_book_send_history(uint64_t call, const struct config *in_force,
+			    struct action_list *actions)
 {
 	plan_answer_send_json(call, 200, plan_answer_format_history(in_force),
 			      actions);
@@ -394,8 +395,9 @@
  * Handles the key-value service's answer to a request of this book. Returns
  * false if the answer belongs to another request.
  */
-bool plan_book_kv(struct plan_book *book, const struct kv_answer *answer,
-		  int64_t now_us, struct action_list *actions)
+bool plan_book_handle_kv_answer(struct plan_book *book,
+				const struct kv_answer *answer, int64_t now_us,
+				struct action_list *actions)
 {
 	struct plan_entry *entry = NULL;
 
@@ -408,7 +410,7 @@
 	}
 	if (!entry)
 		return finish_rollback(book, answer, now_us, actions);
-	plan_entry_kv(entry, answer, now_us, actions);
+	plan_entry_handle_kv_answer(entry, answer, now_us, actions);
 	return true;
 }
 
--- a/core/plan/plan_book.h
+++ b/core/plan/plan_book.h
@@ -42,17 +42,19 @@
 struct plan_book *plan_book_create(const struct plan_book_options *options);
 void plan_book_destroy(struct plan_book *book);
 
-void plan_book_plan(struct plan_book *book, uint64_t call, GBytes *intent,
-		    const char *operator_name, const struct config *base,
-		    int64_t now_us, struct action_list *actions);
+void plan_book_create_plan(struct plan_book *book, uint64_t call,
+			   GBytes *intent, const char *operator_name,
+			   const struct config *base, int64_t now_us,
+			   struct action_list *actions);
 void plan_book_confirm(struct plan_book *book, uint64_t call,
 		       const char *plan_id, const char *operator_name,
 		       const struct config *in_force, int64_t now_us,
 		       struct action_list *actions);
-void plan_book_history(uint64_t call, const struct config *in_force,
-		       struct action_list *actions);
-bool plan_book_kv(struct plan_book *book, const struct kv_answer *answer,
-		  int64_t now_us, struct action_list *actions);
+void plan_book_send_history(uint64_t call, const struct config *in_force,
+			    struct action_list *actions);
+bool plan_book_handle_kv_answer(struct plan_book *book,
+				const struct kv_answer *answer, int64_t now_us,
+				struct action_list *actions);
 void plan_book_step(struct plan_book *book, int64_t now_us,
 		    struct action_list *actions);
 int64_t plan_book_next_due_us(const struct plan_book *book);
--- a/core/plan/plan_describe.c
+++ b/core/plan/plan_describe.c
@@ -110,8 +110,8 @@
 				      const struct config_service *before,
 				      const struct config_service *after)
 {
-	const struct engine_ability *old = &before->engine;
-	const struct engine_ability *engine = &after->engine;
+	const struct engine_capabilities *old = &before->engine;
+	const struct engine_capabilities *engine = &after->engine;
 	GString *changes = g_string_new(NULL);
 
 	plan_add_string_change(changes, "kind", service_kind_name(before->kind),
--- a/core/plan/plan_entry.c
+++ b/core/plan/plan_entry.c
@@ -126,8 +126,9 @@
 
 	if (!config)
 		return false;
-	switch (config_find_plan(config, entry->plan->id,
-				 entry->plan->base_revision, &revision)) {
+	switch (config_find_plan_effect(config, entry->plan->id,
+					entry->plan->base_revision,
+					&revision)) {
 	case PLAN_EFFECT_YES:
 		record_applied(entry, revision, actions);
 		return true;
@@ -195,7 +196,7 @@
 			answer_call(entry, call, PLAN_ANSWER_STALE, actions);
 			return;
 		}
-		plan_sign(entry->plan, operator_name, now_us);
+		plan_set_confirmer(entry->plan, operator_name, now_us);
 		action_list_log(actions, LOG_LEVEL_INFO, "plan_confirm", "plan",
 				entry->plan->id, "operator", operator_name,
 				NULL);
@@ -311,8 +312,9 @@
 }
 
 /* Handles the answer to the write in flight. */
-void plan_entry_kv(struct plan_entry *entry, const struct kv_answer *answer,
-		   int64_t now_us, struct action_list *actions)
+void plan_entry_handle_kv_answer(struct plan_entry *entry,
+				 const struct kv_answer *answer, int64_t now_us,
+				 struct action_list *actions)
 {
 	entry->kv_id = 0;
 	if (entry->state == PLAN_TOOK_EFFECT || entry->state == PLAN_REJECTED)
--- a/core/plan/plan_entry.h
+++ b/core/plan/plan_entry.h
@@ -43,8 +43,9 @@
 			const char *operator_name,
 			const struct config *in_force, int64_t now_us,
 			struct action_list *actions);
-void plan_entry_kv(struct plan_entry *entry, const struct kv_answer *answer,
-		   int64_t now_us, struct action_list *actions);
+void plan_entry_handle_kv_answer(struct plan_entry *entry,
+				 const struct kv_answer *answer, int64_t now_us,
+				 struct action_list *actions);
 void plan_entry_step(struct plan_entry *entry, int64_t now_us,
 		     struct action_list *actions);
 int64_t plan_entry_next_due_us(const struct plan_entry *entry);
--- a/core/plan/plan_route.c
+++ b/core/plan/plan_route.c
@@ -31,8 +31,9 @@
 	for (guint i = 0; i < intent->items->routes->len; i++)
 		add_route_copy(plan,
 			       g_ptr_array_index(intent->items->routes, i));
-	plan->result->callers =
-		intent->has_callers ? intent->items->callers : base->callers;
+	plan->result->callers = intent->has_caller_limits
+					? intent->items->callers
+					: base->callers;
 }
 
 /*
--- a/core/rollout/rollout.c
+++ b/core/rollout/rollout.c
@@ -35,7 +35,7 @@
 	options->order_interval_us = 1 * G_USEC_PER_SEC;
 	options->read_interval_us = 1 * G_USEC_PER_SEC;
 	options->take_out_propagation_us = 5 * G_USEC_PER_SEC;
-	options->return_us = 30 * G_USEC_PER_SEC;
+	options->put_back_propagation_us = 30 * G_USEC_PER_SEC;
 	options->drain_timeout_us = 1800 * G_USEC_PER_SEC;
 	options->load_timeout_us = 600 * G_USEC_PER_SEC;
 	options->verify_interval_us = 1 * G_USEC_PER_SEC;
@@ -301,7 +301,7 @@
  * Puts back into use the endpoints that this node took out and discards its
  * state, because another node may hold the key now or the rollout is to end.
  */
-void rollout_let_go(struct rollout *rollout, int64_t now_us, GArray *effects)
+void rollout_reset(struct rollout *rollout, int64_t now_us, GArray *effects)
 {
 	for (guint i = 0; i < rollout->endpoints->len; i++) {
 		struct rollout_endpoint *endpoint =
@@ -365,7 +365,7 @@
 
 	rollout->last_step_us = now_us;
 	if (rollout->fence && rollout->fence != fence)
-		rollout_let_go(rollout, now_us, effects);
+		rollout_reset(rollout, now_us, effects);
 	if (!fence)
 		return;
 	if (!rollout->fence) {
--- a/core/rollout/rollout.h
+++ b/core/rollout/rollout.h
@@ -50,7 +50,7 @@
 	int64_t read_interval_us;
 	/* From taking out or putting back until all nodes know. */
 	int64_t take_out_propagation_us;
-	int64_t return_us;
+	int64_t put_back_propagation_us;
 	int64_t drain_timeout_us;
 	int64_t load_timeout_us;
 	int64_t verify_interval_us; /* after the end, between two reads */
@@ -58,7 +58,7 @@
 
 enum rollout_effect_type {
 	ROLLOUT_TAKE_OUT, /* send no new requests to the endpoint */
-	ROLLOUT_PUT_IN,	  /* put the endpoint back into use */
+	ROLLOUT_PUT_BACK, /* put the endpoint back into use */
 	ROLLOUT_READ,	  /* read its target and running requests */
 	ROLLOUT_ORDER	  /* order it to load the target */
 };
@@ -78,14 +78,15 @@
 
 void rollout_step(struct rollout *rollout, int64_t now_us,
 		  struct action_list *actions, GArray *effects);
-void rollout_let_go(struct rollout *rollout, int64_t now_us, GArray *effects);
+void rollout_reset(struct rollout *rollout, int64_t now_us, GArray *effects);
 int64_t rollout_next_due_us(const struct rollout *rollout);
-bool rollout_kv(struct rollout *rollout, const struct kv_answer *answer,
-		int64_t now_us);
-void rollout_order_state(struct rollout *rollout,
-			 const struct event_order_state *state, int64_t now_us);
-void rollout_order(struct rollout *rollout, const struct event_order *order,
-		   int64_t now_us);
+bool rollout_handle_kv(struct rollout *rollout, const struct kv_answer *answer,
+		       int64_t now_us);
+void rollout_handle_order_state(struct rollout *rollout,
+				const struct event_order_state *state,
+				int64_t now_us);
+void rollout_handle_order(struct rollout *rollout,
+			  const struct event_order *order, int64_t now_us);
 
 enum rollout_phase rollout_phase(const struct rollout *rollout);
 const char *rollout_id(const struct rollout *rollout);
--- a/core/rollout/rollout_endpoint.c
+++ b/core/rollout/rollout_endpoint.c
@@ -29,9 +29,9 @@
 	if (!endpoint->out_of_use)
 		return;
 	endpoint->out_of_use = false;
-	endpoint->returning_until_us =
-		rollout->last_step_us + rollout->options.return_us;
-	rollout_add_effect(rollout, effects, ROLLOUT_PUT_IN, endpoint);
+	endpoint->returning_until_us = rollout->last_step_us +
+				       rollout->options.put_back_propagation_us;
+	rollout_add_effect(rollout, effects, ROLLOUT_PUT_BACK, endpoint);
 }
 
 /*
@@ -259,9 +259,9 @@
  * Handles the answer to a read of an endpoint. Ignores unknown endpoints and
  * reads that got no answer.
  */
-void rollout_order_state(struct rollout *rollout,
-			 const struct event_order_state *reading,
-			 int64_t now_us)
+void rollout_handle_order_state(struct rollout *rollout,
+				const struct event_order_state *reading,
+				int64_t now_us)
 {
 	struct rollout_endpoint *endpoint =
 		rollout_find_endpoint(rollout, reading->endpoint);
@@ -281,8 +281,8 @@
  * Handles the outcome of an order. If the answer was lost, reading the endpoint
  * back shows whether the order took effect.
  */
-void rollout_order(struct rollout *rollout, const struct event_order *order,
-		   int64_t now_us)
+void rollout_handle_order(struct rollout *rollout,
+			  const struct event_order *order, int64_t now_us)
 {
 	struct rollout_endpoint *endpoint =
 		rollout_find_endpoint(rollout, order->endpoint);
@@ -290,8 +290,8 @@
 	if (!endpoint || !is_ordering(endpoint) || !rollout->fence)
 		return;
 	switch (order->outcome) {
-	case ORDER_TAKEN:
-	case ORDER_LOST:
+	case ORDER_ACCEPTED:
+	case ORDER_UNCONFIRMED:
 		if (endpoint->state == ENDPOINT_ORDERED)
 			rollout_endpoint_set_state(endpoint, ENDPOINT_LOADING,
 						   now_us);
@@ -301,7 +301,7 @@
 				      now_us);
 		break;
 	case ORDER_STALE:
-		holder_drop(rollout->holder, now_us);
+		holder_step_down(rollout->holder, now_us);
 		break;
 	}
 }
--- a/core/rollout/rollout_json.c
+++ b/core/rollout/rollout_json.c
@@ -80,7 +80,7 @@
 
 	rollout_state_init(state);
 	if (ok) {
-		json_fields_allow(&fields, names);
+		json_fields_allow_only(&fields, names);
 		read_phase(&fields, state);
 		read_failed(&fields, state);
 		g_free(state->reason);
@@ -102,13 +102,13 @@
 	JsonBuilder *builder = json_builder_new();
 
 	json_builder_begin_object(builder);
-	json_writer_text(builder, "phase", phase_names[state->phase]);
+	json_writer_add_string(builder, "phase", phase_names[state->phase]);
 	json_writer_begin_array(builder, "failed");
 	for (guint i = 0; i < state->failed->len; i++)
 		json_builder_add_string_value(
 			builder, g_ptr_array_index(state->failed, i));
 	json_builder_end_array(builder);
-	json_writer_text(builder, "reason", state->reason);
+	json_writer_add_string(builder, "reason", state->reason);
 	json_builder_end_object(builder);
-	return json_writer_take(builder);
+	return json_writer_finish(builder);
 }
--- a/core/rollout/rollout_store.c
+++ b/core/rollout/rollout_store.c
@@ -97,7 +97,8 @@
 		   answer->entries->len) {
 		if (!rollout->loaded)
 			rollout->batches_from_us =
-				now_us + rollout->options.return_us;
+				now_us +
+				rollout->options.put_back_propagation_us;
 		rollout->loaded = true;
 		rollout->stale = false;
 		merge_stored(rollout, g_ptr_array_index(answer->entries, 0),
@@ -112,8 +113,8 @@
  * the answer belongs to another caller. After a lost answer or a conflict, the
  * state is read again, and written again if it still differs.
  */
-bool rollout_kv(struct rollout *rollout, const struct kv_answer *answer,
-		int64_t now_us)
+bool rollout_handle_kv(struct rollout *rollout, const struct kv_answer *answer,
+		       int64_t now_us)
 {
 	if (!rollout->kv_id || answer->id != rollout->kv_id)
 		return false;
--- a/core/stream/event_id.c
+++ b/core/stream/event_id.c
@@ -10,7 +10,7 @@
  * "._:-". Engines choose generation names; a separator or a line break in one
  * could forge another field of the id or another line of the stream.
  */
-bool event_id_is_token(const char *text, size_t max_length)
+bool event_id_is_safe_name(const char *text, size_t max_length)
 {
 	size_t length = strlen(text);
 
@@ -78,8 +78,8 @@
 {
 	guint64 token_count;
 
-	if (!event_id_is_token(parts[0], sizeof(id->endpoint) - 1) ||
-	    !event_id_is_token(parts[1], sizeof(id->generation) - 1))
+	if (!event_id_is_safe_name(parts[0], sizeof(id->endpoint) - 1) ||
+	    !event_id_is_safe_name(parts[1], sizeof(id->generation) - 1))
 		return false;
 	if (!g_ascii_string_to_unsigned(parts[2], 10, 0, INT32_MAX,
 					&token_count, NULL))
--- a/core/stream/event_id.h
+++ b/core/stream/event_id.h
@@ -20,7 +20,7 @@
 	int64_t token_count;
 };
 
-bool event_id_is_token(const char *text, size_t max_length);
+bool event_id_is_safe_name(const char *text, size_t max_length);
 char *event_id_format(const struct event_id *id, const char *organisation,
 		      const char *key);
 bool event_id_parse(struct event_id *id, const char *text,
--- a/daemons/gateway_wiring.c
+++ b/daemons/gateway_wiring.c
@@ -56,8 +56,8 @@
 					    item->revision);
 		if (!table)
 			continue;
-		gateway_take_table(wiring->gateway, table, item->value,
-				   "store");
+		gateway_apply_table(wiring->gateway, table, item->value,
+				    "store");
 		route_table_unref(table);
 	}
 }
@@ -91,7 +91,7 @@
 	struct gateway_wiring *wiring = data;
 	GPtrArray *list = read_entries(wiring, page);
 
-	gateway_take_registrations(wiring->gateway, list, page->revision);
+	gateway_apply_listing(wiring->gateway, list, page->revision);
 	g_ptr_array_unref(list);
 }
 
@@ -100,7 +100,7 @@
 	struct gateway_wiring *wiring = data;
 	GPtrArray *list = read_entries(wiring, page);
 
-	gateway_take_changes(wiring->gateway, list);
+	gateway_apply_changes(wiring->gateway, list);
 	g_ptr_array_unref(list);
 }
 
@@ -108,7 +108,7 @@
 {
 	if (!wiring->document || !wiring->entries)
 		return;
-	gateway_take_store(
+	gateway_set_store_reached(
 		wiring->gateway,
 		store_follower_is_reached(wiring->document) &&
 			(wiring->entries_from_nodes ||
@@ -125,7 +125,7 @@
 {
 	const struct gateway_wiring *wiring = data;
 
-	gateway_take_store_answer(wiring->gateway);
+	gateway_store_answered(wiring->gateway);
 }
 
 static void wiring_refresh_document(void *data)
@@ -133,7 +133,7 @@
 	struct gateway_wiring *wiring = data;
 
 	if (wiring->document)
-		store_follower_poke(wiring->document);
+		store_follower_refresh(wiring->document);
 }
 
 static bool wiring_is_reading(void *data)
@@ -151,11 +151,11 @@
 	if (!wiring->entries)
 		return;
 	/* With slow retries the node waits for a store that it lost. */
-	wiring->entries_from_nodes = !watch->entries && !watch->patiently;
+	wiring->entries_from_nodes = !watch->entries && !watch->retries_seldom;
 	store_follower_set_active(wiring->entries, watch->entries);
-	store_follower_watch_closely(wiring->entries, watch->closely);
-	store_follower_set_patient(wiring->entries, watch->patiently);
-	store_follower_set_patient(wiring->document, watch->patiently);
+	store_follower_set_probing(wiring->entries, watch->closely);
+	store_follower_set_slow_retry(wiring->entries, watch->retries_seldom);
+	store_follower_set_slow_retry(wiring->document, watch->retries_seldom);
 	wiring_update_store_reached(wiring);
 }
 
@@ -172,7 +172,7 @@
 		.directory_address = settings->gateway.directory_address,
 		.max_connections = options->max_connections,
 		.drain_us = settings->gateway.drain_us,
-		.address_keep_us = settings->gateway.address_keep_us,
+		.directory_ttl_us = settings->gateway.directory_ttl_us,
 		.retry_percent = settings->gateway.retry_percent,
 		.retry_extra = settings->gateway.retry_extra,
 		.home_from_nodes = settings->gateway.home_from_nodes,
@@ -241,7 +241,7 @@
 		return NULL;
 	}
 	if (!wiring->has_store) {
-		gateway_take_store(wiring->gateway, true);
+		gateway_set_store_reached(wiring->gateway, true);
 		return wiring;
 	}
 	wiring->document = wiring_create_follower(
@@ -335,8 +335,8 @@
 		return; /* the node logged the reason when it read it */
 	table = route_table_create(config);
 	list = list_endpoints(config);
-	gateway_take_table(wiring->gateway, table, action->document, "plan");
-	gateway_take_registrations(wiring->gateway, list, config->revision);
+	gateway_apply_table(wiring->gateway, table, action->document, "plan");
+	gateway_apply_listing(wiring->gateway, list, config->revision);
 	g_ptr_array_unref(list);
 	route_table_unref(table);
 	config_unref(config);
@@ -346,7 +346,7 @@
 void gateway_wiring_receive_peer(struct gateway_wiring *wiring,
 				 const struct peer_message *message)
 {
-	gateway_take_peer(wiring->gateway, message);
+	gateway_receive_peer(wiring->gateway, message);
 }
 
 /* Applies the settings that a running gateway can change: times and retries. */
@@ -354,7 +354,7 @@
 			   const struct gateway_settings *settings)
 {
 	gateway_set_limits(wiring->gateway, settings->drain_us,
-			   settings->address_keep_us, settings->retry_percent,
+			   settings->directory_ttl_us, settings->retry_percent,
 			   settings->retry_extra);
 }
 
--- a/daemons/node_loop.c
+++ b/daemons/node_loop.c
@@ -57,7 +57,7 @@
 {
 	struct node_loop *loop = data;
 
-	if (http_server_open_exchanges(loop->http) > 0 &&
+	if (http_server_count_exchanges(loop->http) > 0 &&
 	    g_get_monotonic_time() < loop->flush_until_us)
 		return G_SOURCE_CONTINUE;
 	loop->flush_source = 0;
@@ -151,7 +151,7 @@
 	return event->type == EVENT_PEER &&
 	       (event->peer->type == PEER_STANDING ||
 		event->peer->type == PEER_ROUTES ||
-		event->peer->type == PEER_ROUTES_ASK ||
+		event->peer->type == PEER_ROUTES_REQUEST ||
 		event->peer->type == PEER_CHOOSE ||
 		event->peer->type == PEER_CHOSEN ||
 		event->peer->type == PEER_QUARANTINE);
--- a/fakes/backend_run.c
+++ b/fakes/backend_run.c
@@ -81,7 +81,7 @@
 {
 	soup_server_message_pause(run->message);
 	run->close_watch =
-		fake_message_on_close(run->message, on_disconnect, run);
+		fake_message_on_disconnect(run->message, on_disconnect, run);
 	run->timer =
 		g_timeout_add((guint)run->backend->answer_delay_ms, step, run);
 }
--- a/fakes/engine_admin.c
+++ b/fakes/engine_admin.c
@@ -40,7 +40,7 @@
 		g_uri_get_query(soup_server_message_get_uri(message));
 	int64_t after = 0;
 	g_autoptr(GArray) events =
-		g_array_new(FALSE, FALSE, sizeof(struct engine_cache_event));
+		g_array_new(FALSE, FALSE, sizeof(struct prefix_cache_event));
 	JsonBuilder *builder = json_builder_new();
 
 	if (query && g_str_has_prefix(query, "after="))
@@ -48,14 +48,14 @@
 	engine_model_cache_events(engine->model, after, events);
 	json_builder_begin_array(builder);
 	for (guint i = 0; i < events->len; i++) {
-		const struct engine_cache_event *event =
-			&g_array_index(events, struct engine_cache_event, i);
+		const struct prefix_cache_event *event =
+			&g_array_index(events, struct prefix_cache_event, i);
 		g_autofree char *hash = g_strdup_printf(
 			"%016" G_GINT64_MODIFIER "x", event->prefix_hash);
 
 		json_builder_begin_object(builder);
-		json_writer_number(builder, "number", event->number);
-		json_writer_text(builder, "prefix_hash", hash);
+		json_writer_add_int(builder, "number", event->number);
+		json_writer_add_string(builder, "prefix_hash", hash);
 		json_builder_set_member_name(builder, "stored");
 		json_builder_add_boolean_value(builder, event->stored);
 		json_builder_end_object(builder);
@@ -91,9 +91,10 @@
 	JsonBuilder *builder = json_builder_new();
 
 	json_builder_begin_object(builder);
-	json_writer_text(builder, "target", engine_model_target(engine->model));
-	json_writer_number(builder, "requests_running",
-			   engine_count_running(engine));
+	json_writer_add_string(builder, "target",
+			       engine_model_target(engine->model));
+	json_writer_add_int(builder, "requests_running",
+			    engine_count_running(engine));
 	json_builder_end_object(builder);
 	fake_message_answer_json(message, status, builder);
 }
--- a/fakes/engine_model.c
+++ b/fakes/engine_model.c
@@ -74,7 +74,7 @@
 	g_free(engine);
 }
 
-/* Queues an output for the next engine_model_step to return. */
+/* Queues an output for the next engine_model_advance to return. */
 void engine_add_output(struct engine_model *engine,
 		       enum engine_output_type type, const struct generation *g,
 		       int64_t at_us)
@@ -198,8 +198,8 @@
  * Runs the model to now_us and appends the outputs since the last call, as
  * struct engine_output, in order of time.
  */
-void engine_model_step(struct engine_model *engine, int64_t now_us,
-		       GArray *outputs)
+void engine_model_advance(struct engine_model *engine, int64_t now_us,
+			  GArray *outputs)
 {
 	engine_advance(engine, now_us);
 	g_array_append_vals(outputs, engine->pending_outputs->data,
@@ -246,7 +246,7 @@
 	engine->used_tokens = 0;
 	engine->step_end_us = NEVER;
 	engine->crashed = true;
-	engine_model_step(engine, now_us, outputs);
+	engine_model_advance(engine, now_us, outputs);
 }
 
 /*
--- a/fakes/engine_model.h
+++ b/fakes/engine_model.h
@@ -81,8 +81,8 @@
 int64_t engine_model_token_count(const struct engine_model *engine,
 				 uint64_t id);
 
-void engine_model_step(struct engine_model *engine, int64_t now_us,
-		       GArray *outputs);
+void engine_model_advance(struct engine_model *engine, int64_t now_us,
+			  GArray *outputs);
 int64_t engine_model_next_due_us(const struct engine_model *engine);
 
 void engine_model_crash(struct engine_model *engine, int64_t now_us,
--- a/fakes/engine_runs.c
+++ b/fakes/engine_runs.c
@@ -41,12 +41,12 @@
 static void describe_run(JsonBuilder *builder, const struct engine_run *run)
 {
 	json_builder_begin_object(builder);
-	json_writer_text(builder, "request_id", run->request_id);
-	json_writer_text(builder, "prompt_head", run->prompt_head);
-	json_writer_text(builder, "generation", run->generation);
-	json_writer_number(builder, "tokens", run->tokens);
-	json_writer_text(builder, "state",
-			 engine_stream_state_name(run->state));
+	json_writer_add_string(builder, "request_id", run->request_id);
+	json_writer_add_string(builder, "prompt_head", run->prompt_head);
+	json_writer_add_string(builder, "generation", run->generation);
+	json_writer_add_int(builder, "tokens", run->tokens);
+	json_writer_add_string(builder, "state",
+			       engine_stream_state_name(run->state));
 	json_builder_end_object(builder);
 }
 
--- a/fakes/engine_stream.c
+++ b/fakes/engine_stream.c
@@ -105,7 +105,7 @@
 	stream->finished_signal = g_signal_connect(
 		reader, "finished", G_CALLBACK(reader_finished), stream);
 	stream->close_watch =
-		fake_message_on_close(reader, reader_closed, stream);
+		fake_message_on_disconnect(reader, reader_closed, stream);
 	soup_server_message_set_status(reader, 200, NULL);
 	soup_message_headers_append(headers, "X-Generation",
 				    stream->generation);
--- a/fakes/fake_backend.c
+++ b/fakes/fake_backend.c
@@ -72,7 +72,7 @@
 
 static gboolean reset_delayed(gpointer data)
 {
-	fake_message_reset(data);
+	fake_message_reset_connection(data);
 	return G_SOURCE_REMOVE;
 }
 
@@ -89,7 +89,7 @@
 	else
 		backend->run_count++;
 	if (backend->crash_after_ms == 0) {
-		fake_message_reset(message);
+		fake_message_reset_connection(message);
 		return;
 	}
 	soup_server_message_pause(message);
--- a/fakes/fake_engine.c
+++ b/fakes/fake_engine.c
@@ -63,8 +63,8 @@
 {
 	int64_t due_us;
 
-	engine_model_step(engine->model, fake_engine_now_us(engine),
-			  engine->outputs);
+	engine_model_advance(engine->model, fake_engine_now_us(engine),
+			     engine->outputs);
 	for (guint i = 0; i < engine->outputs->len; i++)
 		engine_handle_output(engine,
 				     &g_array_index(engine->outputs,
--- a/fakes/fake_server.c
+++ b/fakes/fake_server.c
@@ -361,7 +361,7 @@
 void fake_message_answer_json(SoupServerMessage *message, unsigned status,
 			      JsonBuilder *builder)
 {
-	char *text = json_writer_take_text(builder);
+	char *text = json_writer_finish_text(builder);
 
 	soup_server_message_set_status(message, status, NULL);
 	soup_server_message_set_response(message, "application/json",
@@ -401,7 +401,7 @@
  * Resets the connection of a message, as a host does after its server process
  * has ended.
  */
-void fake_message_reset(SoupServerMessage *message)
+void fake_message_reset_connection(SoupServerMessage *message)
 {
 	GSocket *socket = soup_server_message_get_socket(message);
 	struct linger linger = {1, 0};
@@ -436,8 +436,8 @@
  * it: libsoup itself notices a disconnect only at the next write. The caller
  * owns the returned source and destroys it when the answer is complete.
  */
-GSource *fake_message_on_close(SoupServerMessage *message,
-			       fake_server_callback closed, void *data)
+GSource *fake_message_on_disconnect(SoupServerMessage *message,
+				    fake_server_callback closed, void *data)
 {
 	struct close_watch *watch = g_new(struct close_watch, 1);
 	GSource *source =
--- a/fakes/fake_service.c
+++ b/fakes/fake_service.c
@@ -65,9 +65,9 @@
 		    const char *path, const char *count_name)
 {
 	json_builder_begin_object(builder);
-	json_writer_text(builder, "path", path);
-	json_writer_number(builder, count_name, run->runs);
-	json_writer_text(builder, "body_sha256", run->body_sha256);
+	json_writer_add_string(builder, "path", path);
+	json_writer_add_int(builder, count_name, run->runs);
+	json_writer_add_string(builder, "body_sha256", run->body_sha256);
 	json_builder_end_object(builder);
 }
 
--- a/fakes/kv_gateway.c
+++ b/fakes/kv_gateway.c
@@ -116,9 +116,9 @@
 {
 	json_builder_reset(builder);
 	json_builder_begin_object(builder);
-	json_writer_text(builder, "error", message);
-	json_writer_number(builder, "code", code);
-	json_writer_text(builder, "message", message);
+	json_writer_add_string(builder, "error", message);
+	json_writer_add_int(builder, "code", code);
+	json_writer_add_string(builder, "message", message);
 	json_builder_end_object(builder);
 	return status;
 }
@@ -266,7 +266,7 @@
 		json_builder_set_member_name(builder, "succeeded");
 		json_builder_add_boolean_value(builder, TRUE);
 	}
-	kv_model_begin(model);
+	kv_model_begin_transaction(model);
 	json_writer_begin_array(builder, "responses");
 	for (guint i = 0; operations && i < json_array_get_length(operations);
 	     i++) {
@@ -317,7 +317,7 @@
 {
 	unsigned status = 200;
 
-	kv_model_step(model, now_us);
+	kv_model_expire_leases(model, now_us);
 	json_builder_begin_object(builder);
 	switch (call) {
 	case KV_CALL_RANGE:
@@ -395,7 +395,7 @@
 
 	json_builder_end_object(builder);
 	json_builder_end_object(builder);
-	text = json_writer_take_text(builder);
+	text = json_writer_finish_text(builder);
 	line = g_strconcat(text, "\n", NULL);
 	g_free(text);
 	return line;
@@ -442,7 +442,7 @@
 	json_writer_begin_array(builder, "events");
 	json_builder_begin_object(builder);
 	if (!change->value) {
-		json_writer_text(builder, "type", "DELETE");
+		json_writer_add_string(builder, "type", "DELETE");
 	}
 	json_builder_set_member_name(builder, "kv");
 	add_kv(builder, change->key, change->value, change->create_revision,
--- a/fakes/kv_model.c
+++ b/fakes/kv_model.c
@@ -113,7 +113,7 @@
 }
 
 /* Begins a transaction: all its writes get one revision, the next one. */
-void kv_model_begin(struct kv_model *model)
+void kv_model_begin_transaction(struct kv_model *model)
 {
 	model->revision_taken = false;
 }
@@ -324,7 +324,7 @@
 	if (!g_hash_table_remove(model->leases, &id))
 		return false;
 	items = find_items(model, "", "", id);
-	kv_model_begin(model);
+	kv_model_begin_transaction(model);
 	delete_items(model, items);
 	g_ptr_array_unref(items);
 	return true;
@@ -339,7 +339,7 @@
 }
 
 /* Revokes the expired leases, ordered by id. */
-void kv_model_step(struct kv_model *model, int64_t now_us)
+void kv_model_expire_leases(struct kv_model *model, int64_t now_us)
 {
 	GArray *due = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	GHashTableIter iter;
@@ -419,7 +419,7 @@
 		kv_model_range(model, request->key, "", answer->entries);
 		return;
 	}
-	kv_model_begin(model);
+	kv_model_begin_transaction(model);
 	if (request->op == KV_CAS)
 		written = kv_model_put(model, request->key, request->value,
 				       request->lease);
@@ -457,7 +457,7 @@
 void kv_model_answer(struct kv_model *model, const struct kv_request *request,
 		     int64_t now_us, struct kv_answer *answer)
 {
-	kv_model_step(model, now_us);
+	kv_model_expire_leases(model, now_us);
 	memset(answer, 0, sizeof(*answer));
 	answer->id = request->id;
 	answer->op = request->op;
--- a/fakes/kv_model.h
+++ b/fakes/kv_model.h
@@ -44,14 +44,14 @@
 struct kv_model *kv_model_create(void);
 void kv_model_destroy(struct kv_model *model);
 
-void kv_model_step(struct kv_model *model, int64_t now_us);
+void kv_model_expire_leases(struct kv_model *model, int64_t now_us);
 int64_t kv_model_next_expiry_us(const struct kv_model *model);
 int64_t kv_model_revision(const struct kv_model *model);
 int64_t kv_model_oldest_revision(const struct kv_model *model);
 
 bool kv_model_compare(const struct kv_model *model,
 		      const struct kv_compare *compare);
-void kv_model_begin(struct kv_model *model);
+void kv_model_begin_transaction(struct kv_model *model);
 bool kv_model_put(struct kv_model *model, const char *key, GBytes *value,
 		  int64_t lease);
 int64_t kv_model_delete(struct kv_model *model, const char *key,
--- a/fakes/kv_server.c
+++ b/fakes/kv_server.c
@@ -136,7 +136,7 @@
 	struct kv_server *server = data;
 
 	server->lease_timer = 0;
-	kv_server_changed(server);
+	kv_server_update(server);
 	return G_SOURCE_REMOVE;
 }
 
@@ -158,7 +158,7 @@
  * Applies the modes, expires leases and sends pending changes to the watches.
  * To be called after each change of the modes or the model.
  */
-void kv_server_changed(struct kv_server *server)
+void kv_server_update(struct kv_server *server)
 {
 	struct kv_server_modes *modes = &server->modes;
 
@@ -168,7 +168,7 @@
 	if (modes->down || modes->close_watches)
 		end_watches(server);
 	modes->close_watches = false;
-	kv_model_step(server->model, g_get_monotonic_time());
+	kv_model_expire_leases(server->model, g_get_monotonic_time());
 	schedule_lease_expiry(server);
 	if (modes->watch_delay_ms > 0)
 		schedule_send(server, modes->watch_delay_ms, NULL);
@@ -178,7 +178,7 @@
 
 static void on_mode_changed(void *data)
 {
-	kv_server_changed(data);
+	kv_server_update(data);
 }
 
 static void close_connection(SoupServerMessage *message)
@@ -213,7 +213,7 @@
 	watcher->message = g_object_ref(message);
 	watcher->watch = watch;
 	watcher->close_source =
-		fake_message_on_close(message, on_watch_closed, watcher);
+		fake_message_on_disconnect(message, on_watch_closed, watcher);
 	g_ptr_array_add(server->watchers, watcher);
 	soup_server_message_set_status(message, 200, NULL);
 	soup_message_headers_set_encoding(
@@ -240,7 +240,7 @@
 		server->modes.lose_answers--;
 		close_connection(message);
 	}
-	kv_server_changed(server);
+	kv_server_update(server);
 }
 
 static void handle_v3(void *data, SoupServerMessage *message, const char *path)
@@ -291,7 +291,7 @@
 					     kv_call_name((enum kv_call)i));
 		json_builder_add_int_value(builder, (gint64)server->counts[i]);
 	}
-	json_writer_number(builder, "open_watches", server->watchers->len);
+	json_writer_add_int(builder, "open_watches", server->watchers->len);
 	json_builder_end_object(builder);
 	fake_message_answer_json(message, 200, builder);
 }
@@ -355,7 +355,7 @@
 	return server->model;
 }
 
-/* Returns the modes; call kv_server_changed() after a change to them. */
+/* Returns the modes; call kv_server_update() after a change to them. */
 struct kv_server_modes *kv_server_modes(struct kv_server *server)
 {
 	return &server->modes;
--- a/fakes/kv_server.h
+++ b/fakes/kv_server.h
@@ -33,7 +33,7 @@
 struct kv_model *kv_server_model(struct kv_server *server);
 struct kv_server_modes *kv_server_modes(struct kv_server *server);
 uint64_t kv_server_count(const struct kv_server *server, enum kv_call call);
-void kv_server_changed(struct kv_server *server);
+void kv_server_update(struct kv_server *server);
 
 G_END_DECLS
 
--- a/fakes/platform_store_fault.c
+++ b/fakes/platform_store_fault.c
@@ -28,7 +28,7 @@
 static void refuse_by_reset(SoupServerMessage *message,
 			    unsigned status G_GNUC_UNUSED)
 {
-	fake_message_reset(message);
+	fake_message_reset_connection(message);
 }
 
 static void refuse_by_silence(SoupServerMessage *message,
--- a/fakes/prefix_cache.c
+++ b/fakes/prefix_cache.c
@@ -12,7 +12,7 @@
 	int64_t used_tokens;
 	GQueue *prefixes;  /* struct cached_prefix, most recently used first */
 	GHashTable *links; /* hash: link in prefixes */
-	struct engine_cache_event events[EVENTS_MAX];
+	struct prefix_cache_event events[EVENTS_MAX];
 	int64_t event_count;
 };
 
@@ -41,7 +41,7 @@
 			    bool stored)
 {
 	int64_t number = ++cache->event_count;
-	struct engine_cache_event *event = &cache->events[number % EVENTS_MAX];
+	struct prefix_cache_event *event = &cache->events[number % EVENTS_MAX];
 
 	event->number = number;
 	event->prefix_hash = hash;
--- a/fakes/prefix_cache.h
+++ b/fakes/prefix_cache.h
@@ -14,7 +14,7 @@
 struct prefix_cache;
 
 /* A prefix was stored or evicted. Only the latest events are kept. */
-struct engine_cache_event {
+struct prefix_cache_event {
 	int64_t number; /* from 1, without gaps */
 	uint64_t prefix_hash;
 	bool stored; /* false: evicted */
--- a/fuzz/gateway_fuzz.c
+++ b/fuzz/gateway_fuzz.c
@@ -27,7 +27,7 @@
 	GString *found = g_string_new(NULL);
 	struct http_reader *reader =
 		http_reader_create(kind, 1024, &events, found);
-	enum http_reader_result result = HTTP_READER_MORE;
+	enum http_reader_result result = HTTP_READER_INCOMPLETE;
 
 	for (size_t at = 0; at < size && result <= HTTP_READER_COMPLETE;) {
 		size_t part = MIN(piece, size - at);
--- a/fuzz/platform_fuzz.c
+++ b/fuzz/platform_fuzz.c
@@ -33,10 +33,11 @@
 {
 	struct move_answer answer = {NULL};
 
-	if (platform_dialect.read_move(bytes, &answer) != (answer.handle != 0))
+	if (platform_dialect.read_move_answer(bytes, &answer) !=
+	    (answer.handle != 0))
 		abort();
 	g_free(answer.handle);
-	platform_dialect.read_report_leaves(bytes);
+	platform_dialect.read_report_is_leaving(bytes);
 }
 
 /* Parses the answer of each operation with each status that has a meaning. */
--- a/ports/event.h
+++ b/ports/event.h
@@ -58,7 +58,7 @@
 enum query_type {
 	QUERY_NODES,   /* GET /v1/nodes */
 	QUERY_DUMP,    /* GET /admin/v1/dump */
-	QUERY_SHOW,    /* GET /admin/v1/config */
+	QUERY_CONFIG,  /* GET /admin/v1/config */
 	QUERY_PLAN,    /* POST /admin/v1/plans, body: an intent in JSON */
 	QUERY_CONFIRM, /* POST /admin/v1/plans/ID/confirm */
 	QUERY_HISTORY  /* GET /admin/v1/history */
@@ -99,10 +99,10 @@
 };
 
 enum attempt_stage {
-	ATTEMPT_NOT_SENT, /* no byte was sent to the endpoint */
-	ATTEMPT_REFUSED,  /* the engine answered: not run */
-	ATTEMPT_GONE,	  /* resume: the engine does not know the generation */
-	ATTEMPT_SENT	  /* the request may have run or may still run */
+	ATTEMPT_NOT_SENT,  /* no byte was sent to the endpoint */
+	ATTEMPT_REFUSED,   /* the engine answered: not run */
+	ATTEMPT_NOT_FOUND, /* resume: the engine does not know the generation */
+	ATTEMPT_SENT	   /* the request may have run or may still run */
 };
 
 struct event_attempt_failed {
@@ -118,10 +118,10 @@
 };
 
 enum order_outcome {
-	ORDER_TAKEN,
-	ORDER_STALE,   /* the engine has seen a higher fencing number */
-	ORDER_REFUSED, /* the engine cannot take this target */
-	ORDER_LOST     /* not sent, or sent and not answered */
+	ORDER_ACCEPTED,
+	ORDER_STALE,	  /* the engine has seen a higher fencing number */
+	ORDER_REFUSED,	  /* the engine cannot take this target */
+	ORDER_UNCONFIRMED /* not sent, or sent and not answered */
 };
 
 struct event_order {
--- a/ports/peer_message.h
+++ b/ports/peer_message.h
@@ -18,15 +18,15 @@
 enum peer_message_type {
 	PEER_PING, /* probe; answered by a PEER_ACK with its number */
 	PEER_ACK,
-	PEER_PROBE,	   /* asks the receiver to ping subject */
-	PEER_PLACE,	   /* entry node requests an endpoint from the home */
-	PEER_PLACED,	   /* home grants capacity on an endpoint, or queues */
-	PEER_REFUSED,	   /* home refuses the request */
-	PEER_PROGRESS,	   /* entry node: grants it holds, tokens so far */
-	PEER_RELEASE,	   /* entry node: a grant has ended */
-	PEER_CONFIG,	   /* a configuration document and its revision */
-	PEER_CONFIG_ASK,   /* requests the configuration if it is newer */
-	PEER_LEAVING,	   /* these endpoints take no new requests */
+	PEER_PROBE,    /* asks the receiver to ping subject */
+	PEER_PLACE,    /* entry node requests an endpoint from the home */
+	PEER_PLACED,   /* home grants capacity on an endpoint, or queues */
+	PEER_REFUSED,  /* home refuses the request */
+	PEER_PROGRESS, /* entry node: grants it holds, tokens so far */
+	PEER_RELEASE,  /* entry node: a grant has ended */
+	PEER_CONFIG,   /* a configuration document and its revision */
+	PEER_CONFIG_REQUEST, /* requests the configuration if it is newer */
+	PEER_LEAVING,	     /* these endpoints take no new requests */
 	PEER_QUARANTINE,   /* request fingerprint seen at an endpoint's crash */
 	PEER_LIMIT_REPORT, /* sender's demand on organisations' limits */
 	PEER_LIMIT_SHARE,  /* receiver's shares of organisations' limits */
@@ -34,7 +34,8 @@
 	PEER_ROUTES,	   /* gateway: its configuration document */
 	PEER_CHOOSE,	   /* gateway: requests an engine from its home */
 	PEER_CHOSEN,	   /* home: answer to PEER_CHOOSE */
-	PEER_ROUTES_ASK,   /* gateway: requests the routes if they are newer */
+	PEER_ROUTES_REQUEST, /* gateway: requests the routes if they are newer
+			      */
 	PEER_MESSAGE_TYPES
 };
 
@@ -83,11 +84,11 @@
 };
 
 enum release_outcome {
-	RELEASE_WHOLE,
+	RELEASE_COMPLETE,
 	RELEASE_CANCELLED,
 	RELEASE_NOT_SENT,
-	RELEASE_FAILED, /* the endpoint failed or stalled during the run */
-	RELEASE_LOST	/* the endpoint could not be reached */
+	RELEASE_FAILED,	    /* the endpoint failed or stalled during the run */
+	RELEASE_UNREACHABLE /* the endpoint could not be reached */
 };
 
 struct peer_release {
@@ -158,7 +159,7 @@
 struct peer_standing {
 	int64_t table_version; /* of the sender's routes; -1: none yet */
 	uint64_t answered; /* held includes all PEER_CHOOSE up to this number */
-	bool takes_work;   /* accepts new requests */
+	bool accepts_requests; /* accepts new requests */
 	bool reaches_store;
 	char *callers_address;	  /* where callers connect */
 	GArray *held;		  /* struct peer_held: the complete load */
@@ -212,9 +213,9 @@
 void member_destroy(struct member *member);
 GPtrArray *member_list_create(void); /* owns struct member */
 
-struct peer_holding *peer_progress_add(struct peer_progress *progress);
-struct peer_held *peer_standing_add(struct peer_standing *standing,
-				    uint64_t endpoint_key);
+struct peer_holding *peer_progress_add_holding(struct peer_progress *progress);
+struct peer_held *peer_standing_add_held(struct peer_standing *standing,
+					 uint64_t endpoint_key);
 struct peer_limit *peer_limits_add(struct peer_limits *limits);
 
 G_END_DECLS
--- a/ports/refusal.h
+++ b/ports/refusal.h
@@ -43,10 +43,10 @@
 	REFUSAL_COUNT
 };
 
-int refusal_status(enum refusal refusal);
+int refusal_http_status(enum refusal refusal);
 const char *refusal_code(enum refusal refusal);
 const char *refusal_text(enum refusal refusal);
-enum run refusal_run(enum refusal refusal);
+enum run refusal_default_run(enum refusal refusal);
 const char *run_name(enum run run);
 
 G_END_DECLS
--- a/ports/registration.h
+++ b/ports/registration.h
@@ -14,7 +14,7 @@
 	char *address;
 	char *failure_domain;
 	int64_t started_ms; /* 0: unknown */
-	int64_t warmup_left_us;
+	int64_t warmup_remaining_us;
 	int64_t revision; /* revision of the store at which it was written */
 	int32_t slots;	  /* concurrent requests; 0: unknown */
 	bool is_leaving;
--- a/tests/differential_oracle.cc
+++ b/tests/differential_oracle.cc
@@ -197,7 +197,7 @@
 		/* Runs by other calls of this id after sent_us do not count. */
 		if (call.intent->non_idempotent &&
 		    HasRunBefore(*call.intent, call.sent_us)) {
-			result_.repeats_called_not_run++;
+			result_.repeats_refused_not_run++;
 			Violation(id,
 				  "ran before, but is refused as not run: " +
 					  code);
--- a/tests/differential_script.cc
+++ b/tests/differential_script.cc
@@ -27,15 +27,15 @@
 	options_.restart_us = faults_ ? 3 * kSecond : 0;
 	if (faults_) {
 		options_.peer_drop_permille = static_cast<int32_t>(Pick(0, 50));
-		options_.peer_double_permille = 20;
+		options_.peer_duplicate_permille = 20;
 		options_.peer_late_permille = Chance(50) ? 30 : 0;
 		if (Chance(30))
 			options_.node.id_memory_us = 8 * kSecond;
 		if (Chance(20))
 			options_.node.max_outcomes = 6;
 		options_.chunk_drop_permille = Chance(30) ? 2 : 0;
-		options_.chunk_double_permille = Chance(30) ? 5 : 0;
-		options_.chunk_cross_permille = Chance(30) ? 5 : 0;
+		options_.chunk_duplicate_permille = Chance(30) ? 5 : 0;
+		options_.chunk_reorder_permille = Chance(30) ? 5 : 0;
 	}
 	listener.data = this;
 	listener.answered = [](void *data, uint64_t call,
@@ -99,7 +99,7 @@
 {
 	actions_.push_back(
 		std::make_unique<std::function<void()>>(std::move(action)));
-	world_at(
+	world_schedule(
 		world_, std::max(at_us, world_now_us(world_)),
 		[](struct world *, void *data) {
 			(*static_cast<std::function<void()> *>(data))();
--- a/tests/differential_script.h
+++ b/tests/differential_script.h
@@ -18,7 +18,7 @@
 	int broken = 0;
 	int resumed = 0;
 	int runs = 0;
-	int repeats_called_not_run = 0;
+	int repeats_refused_not_run = 0;
 	uint64_t digest = 0; /* of all events that callers received */
 };
 
--- a/tests/differential_test.cc
+++ b/tests/differential_test.cc
@@ -45,12 +45,12 @@
 		total.broken += result.broken;
 		total.resumed += result.resumed;
 		total.runs += result.runs;
-		total.repeats_called_not_run += result.repeats_called_not_run;
+		total.repeats_refused_not_run += result.repeats_refused_not_run;
 	}
 	printf("%lu seeds: %d calls, %d whole, %d refused, %d broken, "
 	       "%d resumed, %d runs, %d repeats refused as not run\n",
 	       count, total.calls, total.whole, total.refused, total.broken,
-	       total.resumed, total.runs, total.repeats_called_not_run);
+	       total.resumed, total.runs, total.repeats_refused_not_run);
 }
 
 TEST(Differential, SameSeedSameRun)
--- a/tests/discovery_test.cc
+++ b/tests/discovery_test.cc
@@ -25,7 +25,7 @@
 		options.node_count = 5;
 		options.engine_count = 1;
 		options.plain_count = 1;
-		options.seeds_are_gone = true;
+		options.seeds_unreachable = true;
 		options.node.discovers_nodes = discovers_nodes;
 		world = world_create(&options, &listener);
 	}
--- a/tests/drain_test.cc
+++ b/tests/drain_test.cc
@@ -13,11 +13,11 @@
 {
 	for (enum route_kind kind :
 	     {ROUTE_IDEMPOTENT, ROUTE_ONCE, ROUTE_STREAM})
-		EXPECT_TRUE(drain_may_begin(kind, 2500 * MS, LONGEST));
-	EXPECT_FALSE(drain_may_begin(ROUTE_STREAM, 2501 * MS, LONGEST));
+		EXPECT_TRUE(drain_allows_request(kind, 2500 * MS, LONGEST));
+	EXPECT_FALSE(drain_allows_request(ROUTE_STREAM, 2501 * MS, LONGEST));
 	for (enum route_kind kind : {ROUTE_IDEMPOTENT, ROUTE_ONCE}) {
-		EXPECT_TRUE(drain_may_begin(kind, 6800 * MS, LONGEST));
-		EXPECT_FALSE(drain_may_begin(kind, 6801 * MS, LONGEST));
+		EXPECT_TRUE(drain_allows_request(kind, 6800 * MS, LONGEST));
+		EXPECT_FALSE(drain_allows_request(kind, 6801 * MS, LONGEST));
 	}
 }
 
@@ -43,8 +43,8 @@
 				continue;
 			for (enum route_kind kind :
 			     {ROUTE_IDEMPOTENT, ROUTE_ONCE, ROUTE_STREAM})
-				EXPECT_FALSE(drain_may_begin(kind, drained,
-							     longest));
+				EXPECT_FALSE(drain_allows_request(kind, drained,
+								  longest));
 		}
 	}
 }
--- a/tests/endpoint_choice_test.cc
+++ b/tests/endpoint_choice_test.cc
@@ -14,8 +14,8 @@
 {
       protected:
 	struct registry *registry = registry_create();
-	struct engine_ability engine = {};
-	struct endpoint_wish criteria = {};
+	struct engine_capabilities engine = {};
+	struct endpoint_criteria criteria = {};
 	GPtrArray *avoid = g_ptr_array_new_with_free_func(g_free);
 
 	EndpointChoice()
@@ -49,7 +49,7 @@
 		said.failure_domain = const_cast<char *>(domain);
 		said.slots = 24;
 		said.revision = 1;
-		registry_take(registry, &said, false, 0);
+		registry_apply(registry, &said, false, 0);
 		endpoint = registry_find(registry, id);
 		endpoint->others.tokens = tokens;
 		endpoint->others.requests = requests;
@@ -103,7 +103,7 @@
 	EXPECT_EQ("only", choose());
 	only->others.tokens = 33000;
 	EXPECT_EQ("none", choose());
-	EXPECT_EQ(nullptr, endpoint_choose_rescue(registry, &criteria));
+	EXPECT_EQ(nullptr, endpoint_choose_for_move(registry, &criteria));
 }
 
 /*
@@ -114,10 +114,10 @@
 TEST_F(EndpointChoice, MovesReportsOnlyWhereTheyFit)
 {
 	add("full", 21000, 6);
-	EXPECT_EQ(nullptr, endpoint_choose_rescue(registry, &criteria));
+	EXPECT_EQ(nullptr, endpoint_choose_for_move(registry, &criteria));
 	add("new", 3000, 1);
 	EXPECT_STREQ("new",
-		     endpoint_choose_rescue(registry, &criteria)->said->id);
+		     endpoint_choose_for_move(registry, &criteria)->said->id);
 }
 
 TEST_F(EndpointChoice, KeepsBackupsOnlyWhereThereIsRoomToSpare)
@@ -128,7 +128,7 @@
 	only->others.tokens = 19000;
 	EXPECT_EQ("none", backup());
 	only->others.tokens = 0;
-	criteria.avoid_also = "only";
+	criteria.avoid_id = "only";
 	EXPECT_EQ("none", backup());
 }
 
@@ -164,7 +164,7 @@
 	for (struct endpoint *each : leaving)
 		each->presence = PRESENCE_LEAVING;
 	EXPECT_EQ("none", choose());
-	EXPECT_NE(nullptr, endpoint_choose_rescue(registry, &criteria));
+	EXPECT_NE(nullptr, endpoint_choose_for_move(registry, &criteria));
 	for (struct endpoint *each : leaving)
 		each->others = {};
 	EXPECT_EQ("one", choose());
@@ -214,8 +214,8 @@
 
 	add("good", 20000, 6);
 	EXPECT_EQ("broken", choose());
-	endpoint_word_take(&broken->word, 2, criteria.now_us);
-	endpoint_word_take(&broken->word, 3, criteria.now_us);
+	endpoint_suspicion_add_notice(&broken->word, 2, criteria.now_us);
+	endpoint_suspicion_add_notice(&broken->word, 3, criteria.now_us);
 	EXPECT_EQ("good", choose());
 }
 
@@ -230,11 +230,13 @@
 	for (const char *id : {"one", "two", "three", "four"}) {
 		struct endpoint *endpoint = add(id, 9000, 3);
 
-		endpoint_word_take(&endpoint->word, 2, criteria.now_us);
-		endpoint_word_take(&endpoint->word, 3, criteria.now_us);
+		endpoint_suspicion_add_notice(&endpoint->word, 2,
+					      criteria.now_us);
+		endpoint_suspicion_add_notice(&endpoint->word, 3,
+					      criteria.now_us);
 	}
 	EXPECT_NE("none", backup());
-	EXPECT_NE(nullptr, endpoint_choose_rescue(registry, &criteria));
+	EXPECT_NE(nullptr, endpoint_choose_for_move(registry, &criteria));
 }
 
 /*
--- a/tests/endpoint_client_test.cc
+++ b/tests/endpoint_client_test.cc
@@ -334,7 +334,7 @@
 	recorder.events.clear();
 	resume(2, 5);
 	accept("\r\n\r\n")->send(full_answer(404, "gone"));
-	expect_failed(ATTEMPT_GONE);
+	expect_failed(ATTEMPT_NOT_FOUND);
 	recorder.events.clear();
 	resume(3, 5);
 	accept("\r\n\r\n")->send(stream_head("g2"));
--- a/tests/endpoint_word_test.cc
+++ b/tests/endpoint_word_test.cc
@@ -10,20 +10,20 @@
 /* Requests lost at a broken endpoint, of 30 a second from 60 nodes. */
 int LostRequests(int64_t seconds, bool share)
 {
-	struct endpoint_word words[60] = {};
+	struct endpoint_suspicion words[60] = {};
 	int lost = 0;
 
 	for (int64_t i = 0; i < seconds * 30; i++) {
 		int64_t now_us = i * kSecond / 30;
 		uint64_t node = (uint64_t)(i * 7 % 60);
 
-		if (!endpoint_word_allows(&words[node], now_us))
+		if (!endpoint_suspicion_allows(&words[node], now_us))
 			continue;
 		lost++;
 		for (uint64_t other = 0; other < 60; other++) {
 			if (share || other == node)
-				endpoint_word_take(&words[other], node + 1,
-						   now_us);
+				endpoint_suspicion_add_notice(&words[other],
+							      node + 1, now_us);
 		}
 	}
 	return lost;
@@ -37,7 +37,7 @@
  * is lost. With shared notices all nodes avoid the engine after two failures
  * and lose only one more request each time they try it again.
  */
-TEST(EndpointWord, SharedNoticesLimitLosses)
+TEST(EndpointSuspicion, SharedNoticesLimitLosses)
 {
 	EXPECT_EQ(180, LostRequests(6, false));
 	EXPECT_GE(4, LostRequests(6, true));
@@ -47,24 +47,25 @@
  * One node is cut off from all engines and sends failure notices about each.
  * The other nodes keep using them.
  */
-TEST(EndpointWord, OneNodeAloneIsNotEnough)
+TEST(EndpointSuspicion, OneNodeAloneIsNotEnough)
 {
-	struct endpoint_word suspicion = {};
+	struct endpoint_suspicion suspicion = {};
 
 	for (int64_t i = 0; i < 20; i++)
-		EXPECT_FALSE(
-			endpoint_word_take(&suspicion, 7, i * kSecond / 10));
-	EXPECT_TRUE(endpoint_word_allows(&suspicion, 2 * kSecond));
+		EXPECT_FALSE(endpoint_suspicion_add_notice(&suspicion, 7,
+							   i * kSecond / 10));
+	EXPECT_TRUE(endpoint_suspicion_allows(&suspicion, 2 * kSecond));
 }
 
 /* Two unrelated failures, half a minute apart, put no endpoint aside. */
-TEST(EndpointWord, FailuresFarApartDoNotAgree)
+TEST(EndpointSuspicion, FailuresFarApartDoNotAgree)
 {
-	struct endpoint_word suspicion = {};
+	struct endpoint_suspicion suspicion = {};
 
-	EXPECT_FALSE(endpoint_word_take(&suspicion, 7, 0));
-	EXPECT_FALSE(endpoint_word_take(&suspicion, 8, 30 * kSecond));
-	EXPECT_TRUE(endpoint_word_allows(&suspicion, 30 * kSecond));
+	EXPECT_FALSE(endpoint_suspicion_add_notice(&suspicion, 7, 0));
+	EXPECT_FALSE(
+		endpoint_suspicion_add_notice(&suspicion, 8, 30 * kSecond));
+	EXPECT_TRUE(endpoint_suspicion_allows(&suspicion, 30 * kSecond));
 }
 
 /*
@@ -72,24 +73,24 @@
  * The seven notices count as one failure, so that the engine gets requests
  * again after the first time aside.
  */
-TEST(EndpointWord, ConcurrentFailuresCountOnce)
+TEST(EndpointSuspicion, ConcurrentFailuresCountOnce)
 {
-	struct endpoint_word suspicion = {};
+	struct endpoint_suspicion suspicion = {};
 
 	for (uint64_t node = 1; node <= 7; node++)
-		endpoint_word_take(&suspicion, node, 0);
-	EXPECT_FALSE(endpoint_word_allows(&suspicion, kSecond));
-	EXPECT_TRUE(endpoint_word_allows(&suspicion, 2 * kSecond));
+		endpoint_suspicion_add_notice(&suspicion, node, 0);
+	EXPECT_FALSE(endpoint_suspicion_allows(&suspicion, kSecond));
+	EXPECT_TRUE(endpoint_suspicion_allows(&suspicion, 2 * kSecond));
 }
 
 /* An endpoint that keeps failing is put aside for longer each time. */
-TEST(EndpointWord, ARelapseIsPutAsideForLonger)
+TEST(EndpointSuspicion, ARelapseIsPutAsideForLonger)
 {
-	struct endpoint_word suspicion = {};
+	struct endpoint_suspicion suspicion = {};
 
-	endpoint_word_take(&suspicion, 1, 0);
-	EXPECT_TRUE(endpoint_word_take(&suspicion, 2, 0));
-	EXPECT_TRUE(endpoint_word_take(&suspicion, 2, 3 * kSecond));
-	EXPECT_FALSE(endpoint_word_allows(&suspicion, 6 * kSecond));
-	EXPECT_TRUE(endpoint_word_allows(&suspicion, 7 * kSecond));
+	endpoint_suspicion_add_notice(&suspicion, 1, 0);
+	EXPECT_TRUE(endpoint_suspicion_add_notice(&suspicion, 2, 0));
+	EXPECT_TRUE(endpoint_suspicion_add_notice(&suspicion, 2, 3 * kSecond));
+	EXPECT_FALSE(endpoint_suspicion_allows(&suspicion, 6 * kSecond));
+	EXPECT_TRUE(endpoint_suspicion_allows(&suspicion, 7 * kSecond));
 }
--- a/tests/engine_grants_test.cc
+++ b/tests/engine_grants_test.cc
@@ -39,15 +39,15 @@
 		said->failure_domain = g_strdup("a");
 		said->slots = 24;
 		said->revision = ++revision;
-		registry_take(registry, said, false, 0);
+		registry_apply(registry, said, false, 0);
 		registration_destroy(said);
 	}
 
 	/* Grants an engine for one generation and returns the engine's id. */
 	std::string Grant(const char *node, uint64_t number)
 	{
-		struct engine_ability engine = {};
-		struct endpoint_wish criteria = {};
+		struct engine_capabilities engine = {};
+		struct endpoint_criteria criteria = {};
 		struct engine_grant grant = {};
 		struct endpoint *endpoint;
 
@@ -81,15 +81,15 @@
 	{
 		struct peer_message *message =
 			peer_message_create(PEER_STANDING);
-		struct peer_held *held = peer_standing_add(
+		struct peer_held *held = peer_standing_add_held(
 			&message->standing, endpoint_key(id.c_str()));
 
 		held->requests = 1;
 		held->tokens = kPromptTokens + 400;
 		held->unread_tokens = kPromptTokens;
-		engine_grants_told(grants, node, answered);
-		registry_take_held(registry, node, 1, message->standing.held,
-				   now_us);
+		engine_grants_confirm(grants, node, answered);
+		registry_set_node_held(registry, node, 1,
+				       message->standing.held, now_us);
 		peer_message_destroy(message);
 	}
 
@@ -131,9 +131,9 @@
 {
 	std::string id = Grant("entry-1", 2);
 
-	engine_grants_told(grants, "entry-1", 1);
+	engine_grants_confirm(grants, "entry-1", 1);
 	EXPECT_EQ(kPromptTokens, Unread(id));
-	engine_grants_told(grants, "entry-2", 2);
+	engine_grants_confirm(grants, "entry-2", 2);
 	EXPECT_EQ(kPromptTokens, Unread(id));
 }
 
@@ -143,7 +143,7 @@
 	std::string id = Grant("entry-1", 1);
 
 	now_us = 2 * G_USEC_PER_SEC;
-	engine_grants_step(grants, now_us);
+	engine_grants_expire(grants, now_us);
 	EXPECT_EQ(0, Unread(id));
 	EXPECT_EQ(0, registry_find(registry, id.c_str())->granted.tokens);
 }
--- a/tests/engine_model_test.cc
+++ b/tests/engine_model_test.cc
@@ -49,7 +49,7 @@
 	std::vector<struct engine_output> Run(int64_t until_us)
 	{
 		g_array_set_size(outputs, 0);
-		engine_model_step(engine, until_us, outputs);
+		engine_model_advance(engine, until_us, outputs);
 		auto *first =
 			reinterpret_cast<struct engine_output *>(outputs->data);
 		return {first, first + outputs->len};
@@ -179,10 +179,10 @@
 	EXPECT_LT(warm_us * 5, cold_us);
 
 	GArray *events =
-		g_array_new(FALSE, FALSE, sizeof(struct engine_cache_event));
+		g_array_new(FALSE, FALSE, sizeof(struct prefix_cache_event));
 	engine_model_cache_events(engine, 0, events);
 	ASSERT_EQ(1u, events->len);
-	EXPECT_EQ(77u, g_array_index(events, struct engine_cache_event, 0)
+	EXPECT_EQ(77u, g_array_index(events, struct prefix_cache_event, 0)
 			       .prefix_hash);
 	engine_model_cache_events(engine, 1, events);
 	EXPECT_EQ(1u, events->len);
--- a/tests/evacuation_script.cc
+++ b/tests/evacuation_script.cc
@@ -103,7 +103,7 @@
 
 	void AdvanceCopy()
 	{
-		if (copy != COPY_UNDER_WAY || !OldWorks())
+		if (copy != COPY_IN_PROGRESS || !OldWorks())
 			return;
 		if (scene.copy < 0 || refusals < scene.refusals) {
 			if (now - copy_from < kRefusalMs)
@@ -112,7 +112,7 @@
 			DropCopy();
 			Log("copy refused");
 		} else if (now - copy_from >= scene.copy) {
-			copy = COPY_WHOLE;
+			copy = COPY_COMPLETE;
 			Log("copy whole");
 		}
 	}
@@ -171,11 +171,11 @@
 	{
 		struct evacuation_input input = Input();
 
-		input.broke_off = scene.silent < 0;
+		input.failed_in_reach = scene.silent < 0;
 		if (!is_old || now < scene.end || is_asked || finished)
 			return;
 		result.had_copy = BackupExists() ||
-				  (copy == COPY_WHOLE && TargetServes());
+				  (copy == COPY_COMPLETE && TargetServes());
 		switch (scene.has_budget ? evacuation_source(&input)
 					 : EVACUATION_FROM_NOTHING) {
 		case EVACUATION_FROM_COPY:
@@ -229,7 +229,7 @@
 		case EVACUATION_STAY:
 			break;
 		case EVACUATION_BEGIN_COPY:
-			copy = COPY_UNDER_WAY;
+			copy = COPY_IN_PROGRESS;
 			copy_from = now;
 			break;
 		case EVACUATION_DROP_COPY:
@@ -242,7 +242,7 @@
 		case EVACUATION_ASK_BACKUP:
 			Ask(true);
 			break;
-		case EVACUATION_LET_OLD_GO:
+		case EVACUATION_RELEASE_OLD:
 			is_old = false;
 			break;
 		case EVACUATION_DROP_ASKED:
--- a/tests/evacuation_test.cc
+++ b/tests/evacuation_test.cc
@@ -130,7 +130,7 @@
 	EXPECT_EQ(EVACUATION_FROM_NOTHING, evacuation_source(&input));
 	input.silent_us = 3000000;
 	EXPECT_EQ(EVACUATION_FROM_BACKUP, evacuation_source(&input));
-	input.broke_off = true;
+	input.failed_in_reach = true;
 	EXPECT_EQ(EVACUATION_FROM_NOTHING, evacuation_source(&input));
 	input.has_begun = true;
 	input.begun_us = 8000;
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -132,7 +132,7 @@
 		message->standing.table_version = version;
 		message->standing.reaches_store = reaches_store;
 		message->standing.callers_address = g_strdup("n0:2");
-		gateway_take_peer(gateway, message);
+		gateway_receive_peer(gateway, message);
 		peer_message_destroy(message);
 	}
 
@@ -140,12 +140,12 @@
 	void ReceiveRoutesAsk(int64_t version)
 	{
 		struct peer_message *message =
-			peer_message_create(PEER_ROUTES_ASK);
+			peer_message_create(PEER_ROUTES_REQUEST);
 
 		message->from = g_strdup("n0");
 		message->from_address = g_strdup("n0:1");
 		message->config.revision = version;
-		gateway_take_peer(gateway, message);
+		gateway_receive_peer(gateway, message);
 		peer_message_destroy(message);
 	}
 
@@ -162,7 +162,7 @@
 		said->revision = revision;
 		said->is_removed = is_removed;
 		g_ptr_array_add(list, said);
-		gateway_take_changes(gateway, list);
+		gateway_apply_changes(gateway, list);
 		g_ptr_array_unref(list);
 	}
 
@@ -179,7 +179,7 @@
 
 		config->revision = revision;
 		table = route_table_create(config);
-		gateway_take_table(gateway, table, document, "store");
+		gateway_apply_table(gateway, table, document, "store");
 		route_table_unref(table);
 		config_unref(config);
 		g_bytes_unref(document);
@@ -208,8 +208,8 @@
 TEST_F(Gateway, AppliesARemovalThoughASentinelLostTheStore)
 {
 	ApplyTableVersion(5);
-	gateway_take_store(gateway, true);
-	gateway->store_doubt.settles_us = 0;
+	gateway_set_store_reached(gateway, true);
+	gateway->store_doubt.doubt_until_us = 0;
 	ReceiveEntry(1, false);
 	ReceiveStanding(5, true);
 	ReceiveStanding(5, false);
@@ -237,9 +237,9 @@
 	ReceiveStanding(7, true);
 	gateway->fetch.behind_us = 1;
 	gateway_routes_step(gateway);
-	EXPECT_EQ(1u, SentCount(PEER_ROUTES_ASK));
+	EXPECT_EQ(1u, SentCount(PEER_ROUTES_REQUEST));
 	gateway_routes_step(gateway);
-	EXPECT_EQ(1u, SentCount(PEER_ROUTES_ASK));
+	EXPECT_EQ(1u, SentCount(PEER_ROUTES_REQUEST));
 	ApplyTableVersion(7);
 	ReceiveRoutesAsk(7);
 	EXPECT_EQ(0u, SentCount(PEER_ROUTES));
@@ -250,7 +250,7 @@
 /* Guards against a 404 for a new route that other nodes already have. */
 TEST_F(Gateway, IsNotCurrentWhileANodeKnowsMore)
 {
-	gateway_take_store(gateway, true);
+	gateway_set_store_reached(gateway, true);
 	ApplyTableVersion(5);
 	ReceiveStanding(5, true);
 	EXPECT_TRUE(gateway_is_current(gateway));
--- a/tests/http_reader_test.cc
+++ b/tests/http_reader_test.cc
@@ -39,7 +39,7 @@
 	Read read;
 	struct http_reader *reader =
 		http_reader_create(kind, 512, &events, &read);
-	enum http_reader_result result = HTTP_READER_MORE;
+	enum http_reader_result result = HTTP_READER_INCOMPLETE;
 
 	for (size_t at = 0;
 	     at < bytes.size() && result <= HTTP_READER_COMPLETE;) {
@@ -176,9 +176,9 @@
 				scanner, stream.data() + at,
 				std::min(piece, stream.size() - at)));
 		EXPECT_EQ("0:15 -1:8 1:30 ", found) << piece;
-		EXPECT_FALSE(event_scanner_is_between(scanner));
+		EXPECT_FALSE(event_scanner_at_boundary(scanner));
 		event_scanner_reset(scanner);
-		EXPECT_TRUE(event_scanner_is_between(scanner));
+		EXPECT_TRUE(event_scanner_at_boundary(scanner));
 		EXPECT_FALSE(event_scanner_feed(scanner, "id: 99\n\n", 8));
 		event_scanner_destroy(scanner);
 	}
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -181,7 +181,7 @@
 	EXPECT_NE(std::string::npos, c->input.find("\"completion_tokens\":2"));
 	run_idle();
 	EXPECT_EQ(0u, recorder.count(EVENT_CALL_GONE));
-	EXPECT_EQ(0u, http_server_open_exchanges(server));
+	EXPECT_EQ(0u, http_server_count_exchanges(server));
 }
 
 /*
@@ -501,7 +501,7 @@
 	EXPECT_EQ(call, recorder.last(EVENT_CALL_GONE)->number);
 	run_idle();
 	EXPECT_EQ(2u, recorder.count(EVENT_CALL_GONE));
-	EXPECT_EQ(0u, http_server_open_exchanges(server));
+	EXPECT_EQ(0u, http_server_count_exchanges(server));
 }
 
 /*
@@ -529,7 +529,7 @@
 		run_idle();
 	}
 	EXPECT_EQ(10u, recorder.count(EVENT_CALL_GONE));
-	EXPECT_EQ(0u, http_server_open_exchanges(server));
+	EXPECT_EQ(0u, http_server_count_exchanges(server));
 }
 
 TEST_F(HttpServer, AsksOperatorsForTheirKey)
--- a/tests/kv_client_test.cc
+++ b/tests/kv_client_test.cc
@@ -146,10 +146,10 @@
 		struct kv_model *model = kv_server_model(server);
 		GBytes *bytes = g_bytes_new(value, strlen(value));
 
-		kv_model_begin(model);
+		kv_model_begin_transaction(model);
 		kv_model_put(model, "/siskinlink/config", bytes, 0);
 		g_bytes_unref(bytes);
-		kv_server_changed(server);
+		kv_server_update(server);
 		return kv_model_revision(model);
 	}
 };
@@ -267,8 +267,8 @@
 	EXPECT_EQ(KV_OK,
 		  call(KV_LEASE_KEEPALIVE, nullptr, 0, granted.lease).outcome);
 	EXPECT_EQ(KV_OK, call(KV_CAS, "held", 0, granted.lease).outcome);
-	kv_model_step(kv_server_model(server),
-		      g_get_monotonic_time() + 2 * G_USEC_PER_SEC);
+	kv_model_expire_leases(kv_server_model(server),
+			       g_get_monotonic_time() + 2 * G_USEC_PER_SEC);
 	EXPECT_EQ(KV_NOT_FOUND, call(KV_GET).outcome);
 	EXPECT_EQ(KV_NOT_FOUND,
 		  call(KV_LEASE_KEEPALIVE, nullptr, 0, granted.lease).outcome);
@@ -341,9 +341,9 @@
 	EXPECT_TRUE(wait_for_value("one"));
 	put("two");
 	EXPECT_TRUE(wait_for_value("two"));
-	kv_model_begin(kv_server_model(server));
+	kv_model_begin_transaction(kv_server_model(server));
 	kv_model_delete(kv_server_model(server), "/siskinlink/config", "");
-	kv_server_changed(server);
+	kv_server_update(server);
 	EXPECT_TRUE(wait_for_value("(none)"));
 	expect_rising_revisions();
 }
--- a/tests/length_estimate_test.cc
+++ b/tests/length_estimate_test.cc
@@ -39,21 +39,23 @@
 	}
 	static double mean_left(struct length_class *cls, int64_t made)
 	{
-		return length_curve_mean_left(length_class_curve(cls), made, 0);
+		return length_curve_mean_remaining(length_class_curve(cls),
+						   made, 0);
 	}
 };
 
 TEST_F(LengthEstimate, LearnsMeanAndRemainingLength)
 {
 	struct length_class *cls =
-		length_estimate_class(estimate, "a", 1000, 0);
+		length_estimate_get_class(estimate, "a", 1000, 0);
 
 	observe_answers(cls, 1000, 500);
 	EXPECT_NEAR(500 * exp(0.18), mean_left(cls, 0), 120);
 	EXPECT_NEAR(0.5, length_curve_survival(length_class_curve(cls), 500),
 		    0.1);
 	EXPECT_GT(mean_left(cls, 1500), 200);
-	EXPECT_LE(length_curve_mean_left(length_class_curve(cls), 0, 100), 100);
+	EXPECT_LE(length_curve_mean_remaining(length_class_curve(cls), 0, 100),
+		  100);
 	length_class_unref(cls);
 }
 
@@ -65,7 +67,7 @@
 TEST_F(LengthEstimate, DetectsAShiftFromRunningAnswers)
 {
 	struct length_class *cls =
-		length_estimate_class(estimate, "a", 1000, 0);
+		length_estimate_get_class(estimate, "a", 1000, 0);
 	double before;
 
 	observe_answers(cls, 1000, 300);
@@ -79,9 +81,9 @@
 TEST_F(LengthEstimate, NewClassesStartFromTheirParents)
 {
 	struct length_class *known =
-		length_estimate_class(estimate, "a", 1000, 0);
+		length_estimate_get_class(estimate, "a", 1000, 0);
 	struct length_class *other =
-		length_estimate_class(estimate, "b", 1000, 0);
+		length_estimate_get_class(estimate, "b", 1000, 0);
 
 	observe_answers(known, 500, 60);
 	EXPECT_LT(mean_left(other, 0), 120);
@@ -96,21 +98,22 @@
 TEST_F(LengthEstimate, BoundsTheNumberOfClasses)
 {
 	struct length_class *held =
-		length_estimate_class(estimate, "a", 1000, 7);
+		length_estimate_get_class(estimate, "a", 1000, 7);
 
 	for (uint64_t i = 100; i < 2000; i++)
 		length_class_unref(
-			length_estimate_class(estimate, "a", 1000, i));
+			length_estimate_get_class(estimate, "a", 1000, i));
 	EXPECT_LE(length_estimate_class_count(estimate), 66u);
 	observe_answers(held, 10, 100);
-	EXPECT_EQ(held, length_estimate_class(estimate, "a", 1000, 7));
+	EXPECT_EQ(held, length_estimate_get_class(estimate, "a", 1000, 7));
 	length_class_unref(held);
 	length_class_unref(held);
 }
 
 TEST_F(LengthEstimate, AcceptsAnyNumbers)
 {
-	struct length_class *cls = length_estimate_class(estimate, "", -5, 1);
+	struct length_class *cls =
+		length_estimate_get_class(estimate, "", -5, 1);
 
 	length_class_count_end(cls, INT64_MAX, -1);
 	length_class_count_end(cls, -7, INT64_MAX);
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -69,7 +69,7 @@
 	{
 		for (uint32_t i = 0; i < options.nodes; i++) {
 			if (i != node && get(i) &&
-			    !member_network_knows(network, i, node, state))
+			    !member_network_lists(network, i, node, state))
 				return false;
 		}
 		return true;
@@ -80,7 +80,7 @@
 		for (uint32_t i = 0; i < options.nodes; i++) {
 			for (uint32_t k = 0; k < options.nodes; k++) {
 				if (i != k &&
-				    member_network_knows(network, i, k,
+				    member_network_lists(network, i, k,
 							 MEMBER_SUSPECT))
 					return true;
 			}
@@ -90,13 +90,13 @@
 
 	void cut_both(uint32_t a, uint32_t b, bool cut)
 	{
-		member_network_cut(network, a, b, cut);
-		member_network_cut(network, b, a, cut);
+		member_network_block(network, a, b, cut);
+		member_network_block(network, b, a, cut);
 	}
 
 	struct membership *get(uint32_t node)
 	{
-		return member_network_get(network, node);
+		return member_network_membership(network, node);
 	}
 
 	const struct member_network_totals *totals()
@@ -201,8 +201,8 @@
 	Network network(8);
 
 	network.start_and_converge();
-	member_network_cut(network.network, 1, 2, true);
-	member_network_cut(network.network, 3, 4, true);
+	member_network_block(network.network, 1, 2, true);
+	member_network_block(network.network, 3, 4, true);
 	network.run(60);
 	EXPECT_TRUE(network.converged());
 	EXPECT_EQ(0u, network.totals()->deaths);
@@ -235,7 +235,7 @@
 
 	network.start_and_converge();
 	for (uint32_t i = 0; i < 8; i++)
-		member_network_cut(network.network, i, 7, i != 7);
+		member_network_block(network.network, i, 7, i != 7);
 	EXPECT_LT(network.run_until(
 			  [&] { return network.all_know(7, MEMBER_DEAD); }, 30),
 		  5);
@@ -246,10 +246,10 @@
 		EXPECT_EQ(1u, membership_self(network.get(i))->version);
 	}
 	EXPECT_GT(member_network_now_us(network.network) -
-			  membership_quorum_heard_us(network.get(7)),
+			  membership_last_quorum_us(network.get(7)),
 		  30 * second_us);
 	for (uint32_t i = 0; i < 8; i++)
-		member_network_cut(network.network, i, 7, false);
+		member_network_block(network.network, i, 7, false);
 	EXPECT_LT(network.run_until([&] { return network.converged(); }, 60),
 		  15);
 }
@@ -295,7 +295,7 @@
 		member_network_set_loss(network.network, 0.6);
 		network.run(0.9);
 		for (uint32_t i = 0; i < 8; i++)
-			suspects += member_network_knows(network.network, 6, i,
+			suspects += member_network_lists(network.network, 6, i,
 							 MEMBER_SUSPECT);
 		uint64_t before = network.totals()->false_deaths;
 		member_network_pause(network.network, 6,
@@ -379,7 +379,7 @@
 		network.run(10);
 		EXPECT_EQ(0u, network.totals()->false_deaths);
 		EXPECT_LT(member_network_now_us(network.network) -
-				  membership_quorum_heard_us(network.get(0)),
+				  membership_last_quorum_us(network.get(0)),
 			  2 * second_us);
 	}
 }
@@ -405,7 +405,7 @@
 		for (uint32_t i = 0; i < 8; i++) {
 			EXPECT_EQ(i < 3 ? 3u : 5u,
 				  membership_count(network.get(i)));
-			int64_t age_us = now_us - membership_quorum_heard_us(
+			int64_t age_us = now_us - membership_last_quorum_us(
 							  network.get(i));
 			if (i < 3)
 				EXPECT_GT(age_us, 290 * second_us);
@@ -414,7 +414,7 @@
 		}
 		network.run(1200);
 		EXPECT_GT(member_network_now_us(network.network) -
-				  membership_quorum_heard_us(network.get(0)),
+				  membership_last_quorum_us(network.get(0)),
 			  1400 * second_us);
 		for (uint32_t a = 0; a < 3; a++) {
 			for (uint32_t b = 3; b < 8; b++)
--- a/tests/node_config_test.cc
+++ b/tests/node_config_test.cc
@@ -42,7 +42,7 @@
 	int RequestsAfter(const char *name, int64_t revision)
 	{
 		struct peer_message *message =
-			peer_message_create(PEER_CONFIG_ASK);
+			peer_message_create(PEER_CONFIG_REQUEST);
 		struct event event = {};
 		int requests = 0;
 
@@ -59,7 +59,7 @@
 
 			requests += action->type == ACTION_PEER_SEND &&
 				    action->peer_send.message->type ==
-					    PEER_CONFIG_ASK;
+					    PEER_CONFIG_REQUEST;
 		}
 		action_list_clear(actions);
 		peer_message_destroy(message);
--- a/tests/node_script.cc
+++ b/tests/node_script.cc
@@ -342,7 +342,7 @@
 	static const std::map<std::string, enum attempt_stage> stages = {
 		{"not_sent", ATTEMPT_NOT_SENT},
 		{"refused", ATTEMPT_REFUSED},
-		{"gone", ATTEMPT_GONE},
+		{"gone", ATTEMPT_NOT_FOUND},
 		{"sent", ATTEMPT_SENT},
 	};
 	struct event event = {};
@@ -548,7 +548,7 @@
 		break;
 	case ACTION_CALL_REFUSE:
 		to << "refuse " << action.refuse.call << " "
-		   << refusal_status(action.refuse.refusal) << " "
+		   << refusal_http_status(action.refuse.refusal) << " "
 		   << refusal_code(action.refuse.refusal)
 		   << " run=" << run_name(action.refuse.run)
 		   << " come_back_ms=" << action.refuse.retry_after_us / 1000;
--- a/tests/operators_differential_test.cc
+++ b/tests/operators_differential_test.cc
@@ -115,7 +115,7 @@
 	options.plain_count = 1;
 	options.node.kv_timeout_us = kSecond;
 	options.peer_drop_permille = 20;
-	options.peer_double_permille = 20;
+	options.peer_duplicate_permille = 20;
 	options.peer_late_permille = 20;
 	listener.data = this;
 	listener.answered = [](void *data, uint64_t call,
@@ -143,7 +143,7 @@
 {
 	actions_.push_back(
 		std::make_unique<std::function<void()>>(std::move(action)));
-	world_at(
+	world_schedule(
 		world_, at_us,
 		[](struct world *, void *data) {
 			(*static_cast<std::function<void()> *>(data))();
@@ -302,7 +302,7 @@
 	});
 	for (int i = 0; i < kNodes; i++)
 		At(kEndUs - kSecond, [this, i] {
-			Query(i, QUERY_SHOW, "", "",
+			Query(i, QUERY_CONFIG, "", "",
 			      [this](const std::string &body) {
 				      CheckConfig(body);
 			      });
--- a/tests/organisation_limits_test.cc
+++ b/tests/organisation_limits_test.cc
@@ -52,8 +52,8 @@
 		organisation_limits_report(node[i], "atlas", now_us, &report);
 		organisation_limits_divide(home, atlas, name.c_str(), &report,
 					   now_us, &share);
-		organisation_limits_take_share(node[i], "atlas", &share,
-					       now_us);
+		organisation_limits_apply_share(node[i], "atlas", &share,
+						now_us);
 	}
 };
 
--- a/tests/peer_codec_test.cc
+++ b/tests/peer_codec_test.cc
@@ -28,7 +28,7 @@
 {
 	for (int i = 0; i < count; i++) {
 		struct peer_holding *holding =
-			peer_progress_add(&message->progress);
+			peer_progress_add_holding(&message->progress);
 
 		holding->ticket = (1ull << 40) + (uint64_t)i * 3;
 		holding->tokens = 1000 + i;
@@ -63,8 +63,8 @@
 		message->config.document = g_bytes_new("{}", 2);
 		message->config.revision = 12;
 		break;
-	case PEER_CONFIG_ASK:
-	case PEER_ROUTES_ASK:
+	case PEER_CONFIG_REQUEST:
+	case PEER_ROUTES_REQUEST:
 		message->config.revision = 12;
 		break;
 	case PEER_LEAVING:
@@ -97,7 +97,8 @@
 static void fill_standing(struct peer_standing *standing)
 {
 	struct registration *entry = g_new0(struct registration, 1);
-	struct peer_held *held = peer_standing_add(standing, UINT64_MAX - 7);
+	struct peer_held *held =
+		peer_standing_add_held(standing, UINT64_MAX - 7);
 
 	held->requests = 3;
 	held->copies = 2;
@@ -105,7 +106,7 @@
 	held->unread_tokens = 3000;
 	standing->table_version = 17;
 	standing->answered = 4;
-	standing->takes_work = true;
+	standing->accepts_requests = true;
 	standing->reaches_store = true;
 	standing->callers_address = g_strdup("10.1.2.1:8740");
 	entry->id = g_strdup("i-7f3a91c2");
@@ -113,7 +114,7 @@
 	entry->address = g_strdup("10.2.0.1:9000");
 	entry->failure_domain = g_strdup("casablanca-a");
 	entry->started_ms = 1780000000000;
-	entry->warmup_left_us = 400000;
+	entry->warmup_remaining_us = 400000;
 	entry->revision = 812;
 	entry->slots = 24;
 	entry->is_leaving = true;
@@ -163,7 +164,7 @@
 		break;
 	case PEER_RELEASE:
 		message->release.ticket = 99;
-		message->release.outcome = RELEASE_LOST;
+		message->release.outcome = RELEASE_UNREACHABLE;
 		message->release.tokens = 321;
 		message->release.duration_us = 12345678;
 		break;
@@ -266,7 +267,7 @@
 	peer_message_destroy(message);
 
 	message = decode(encode_type(PEER_RELEASE), &error);
-	EXPECT_EQ(RELEASE_LOST, message->release.outcome);
+	EXPECT_EQ(RELEASE_UNREACHABLE, message->release.outcome);
 	EXPECT_EQ(321, message->release.tokens);
 	EXPECT_EQ(12345678, message->release.duration_us);
 	peer_message_destroy(message);
@@ -281,8 +282,8 @@
 	message->from_address = g_strdup("10.0.0.1:1");
 	message->incarnation = 1;
 	for (int i = 1; i <= 3; i++) {
-		struct peer_held *held =
-			peer_standing_add(&message->standing, UINT64_MAX - i);
+		struct peer_held *held = peer_standing_add_held(
+			&message->standing, UINT64_MAX - i);
 
 		held->requests = i;
 		held->copies = 10 * i;
@@ -320,7 +321,8 @@
 	message->from = g_strdup("n");
 	message->from_address = g_strdup("10.0.0.1:1");
 	message->incarnation = 1;
-	struct peer_held *held = peer_standing_add(&message->standing, 0xa5a5);
+	struct peer_held *held =
+		peer_standing_add_held(&message->standing, 0xa5a5);
 	held->requests = INT32_MAX;
 	held->copies = -1;
 	held->tokens = INT64_MAX;
@@ -356,8 +358,8 @@
 	message->from = g_strdup("n");
 	message->from_address = g_strdup("10.0.0.1:1");
 	message->incarnation = 1;
-	peer_progress_add(&message->progress)->ticket = UINT64_MAX;
-	peer_progress_add(&message->progress)->ticket = 3;
+	peer_progress_add_holding(&message->progress)->ticket = UINT64_MAX;
+	peer_progress_add_holding(&message->progress)->ticket = 3;
 	struct peer_message *copy = decode(encode(message), &error);
 	ASSERT_NE(nullptr, copy) << error.detail;
 	EXPECT_EQ(UINT64_MAX, static_cast<struct peer_holding *>(
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -118,7 +118,7 @@
 	EXPECT_EQ(60, (int)placed.size() + waiting);
 	now += SECOND;
 	for (uint64_t ticket = 1; ticket <= 6; ticket++)
-		release(ticket, RELEASE_WHOLE, 300);
+		release(ticket, RELEASE_COMPLETE, 300);
 	step();
 	EXPECT_LT((int)placement_waiting(placement), waiting);
 }
@@ -154,7 +154,7 @@
 
 		step();
 		now += SECOND;
-		release(ticket, RELEASE_WHOLE, 0);
+		release(ticket, RELEASE_COMPLETE, 0);
 	}
 	placed.clear();
 	for (int i = 0; i < 20; i++) {
@@ -198,7 +198,7 @@
 		now += SECOND;
 		placed.erase(ticket);
 		served.insert(ticket);
-		release(ticket, RELEASE_WHOLE, 0);
+		release(ticket, RELEASE_COMPLETE, 0);
 		step();
 	}
 	for (uint64_t ticket : others)
@@ -223,7 +223,7 @@
 			release(ticket, RELEASE_FAILED, 0);
 			sent_to_failing++;
 		} else {
-			release(ticket, RELEASE_WHOLE, 50);
+			release(ticket, RELEASE_COMPLETE, 50);
 		}
 		now += SECOND / 20;
 	}
@@ -234,7 +234,7 @@
 		uint64_t ticket = submit("a", 100);
 
 		step();
-		release(ticket, RELEASE_WHOLE, 50);
+		release(ticket, RELEASE_COMPLETE, 50);
 		now += SECOND / 20;
 	}
 	EXPECT_GT(counts()[name(0)], 200);
@@ -313,12 +313,12 @@
 TEST_F(Placement, IgnoresUnknownTicketsAndAddresses)
 {
 	start(SERVICE_GENERATION, 1);
-	placement_progress(placement, 99, 5, now);
-	placement_release(placement, 99, RELEASE_WHOLE, 5, now);
+	placement_report_progress(placement, 99, 5, now);
+	placement_release(placement, 99, RELEASE_COMPLETE, 5, now);
 	placement_withdraw(placement, 99, now);
 	placement_remove_endpoint(placement, "nowhere:1", now);
 	placement_report_unreachable(placement, "nowhere:1", now);
-	placement_prefix_cached(placement, "nowhere:1", 5, true);
+	placement_report_prefix(placement, "nowhere:1", 5, true);
 	EXPECT_EQ(6u, placement_counts(placement)->unknown);
 	EXPECT_EQ(0, step());
 }
@@ -358,7 +358,7 @@
 	before = placed.size();
 	for (auto &item : std::map<uint64_t, std::string>(placed))
 		if (item.first <= 20)
-			release(item.first, RELEASE_WHOLE, 200);
+			release(item.first, RELEASE_COMPLETE, 200);
 	step();
 	EXPECT_GE(placed.size(), before + 4);
 }
@@ -372,7 +372,7 @@
 		ticket = submit("a", 100, 0, home_hash(name(1).c_str(), "", 0));
 		step();
 		EXPECT_NE(name(1), placed[ticket]);
-		release(ticket, RELEASE_WHOLE, 50);
+		release(ticket, RELEASE_COMPLETE, 50);
 	}
 }
 
@@ -446,10 +446,10 @@
 		uint64_t ticket = submit("a", 80);
 
 		step();
-		release(ticket, RELEASE_WHOLE, 20);
+		release(ticket, RELEASE_COMPLETE, 20);
 		ticket = submit("a", 2000);
 		step();
-		release(ticket, RELEASE_WHOLE, 800);
+		release(ticket, RELEASE_COMPLETE, 800);
 		now += SECOND / 10;
 	}
 	for (int i = 0; i < 40; i++)
@@ -507,17 +507,17 @@
 	start(SERVICE_GENERATION, 1);
 	before = deviations(placement);
 	for (int i = 0; i < 100; i++) {
-		release(submit("a", 100), RELEASE_WHOLE, 10);
+		release(submit("a", 100), RELEASE_COMPLETE, 10);
 		submit("a", 100);
 		step();
-		release(next_ticket - 1, RELEASE_WHOLE, 10);
+		release(next_ticket - 1, RELEASE_COMPLETE, 10);
 	}
 	EXPECT_EQ(before, deviations(placement));
 	placement_report_load(placement, name(0).c_str(), &report, now);
 	for (int i = 0; i < 100; i++) {
 		submit("a", 100);
 		step();
-		release(next_ticket - 1, RELEASE_WHOLE, 10);
+		release(next_ticket - 1, RELEASE_COMPLETE, 10);
 	}
 	narrowed = deviations(placement);
 	EXPECT_LT(narrowed, before);
@@ -547,13 +547,13 @@
 	priority = 3;
 	high = submit("b", 1);
 	step();
-	release(1, RELEASE_WHOLE, 0);
+	release(1, RELEASE_COMPLETE, 0);
 	step();
 	EXPECT_EQ(1u, placed.count(high));
 	EXPECT_EQ(0u, placed.count(low));
 	now += 45 * SECOND;
 	late_high = submit("c", 1);
-	release(2, RELEASE_WHOLE, 0);
+	release(2, RELEASE_COMPLETE, 0);
 	step();
 	EXPECT_EQ(1u, placed.count(low));
 	EXPECT_EQ(0u, placed.count(late_high));
--- a/tests/plan_book_test.cc
+++ b/tests/plan_book_test.cc
@@ -80,8 +80,8 @@
 	{
 		GBytes *body = g_bytes_new(intent.data(), intent.size());
 
-		plan_book_plan(book, ++call, body, "aicha", config, now_us,
-			       actions);
+		plan_book_create_plan(book, ++call, body, "aicha", config,
+				      now_us, actions);
 		g_bytes_unref(body);
 		run();
 		if (bodies.empty())
@@ -154,7 +154,8 @@
 			answer.outcome = how == REFUSES ? KV_NOT_APPLIED
 							: KV_ANSWER_LOST;
 		}
-		EXPECT_TRUE(plan_book_kv(book, &answer, now_us, actions));
+		EXPECT_TRUE(plan_book_handle_kv_answer(book, &answer, now_us,
+						       actions));
 		kv_answer_clear(&answer);
 	}
 
--- a/tests/plan_test.cc
+++ b/tests/plan_test.cc
@@ -211,7 +211,7 @@
 	EXPECT_STREQ("n1-7", result->plan_id);
 	ASSERT_EQ(1u, result->history->len);
 	EXPECT_STREQ("kgotso",
-		     config_find_key(result, "very-secret-key")->name);
+		     config_find_key_owner(result, "very-secret-key")->name);
 	EXPECT_EQ(std::string::npos, shown.find("very-secret-key"));
 	EXPECT_EQ(std::string::npos, shown.find(digest));
 	EXPECT_EQ("{\"plan_id\":\"n1-7\",\"operator\":\"aicha\","
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -42,7 +42,7 @@
 	EXPECT_STREQ("i-1", record->id);
 	EXPECT_STREQ("10.0.0.1:8080", record->address);
 	EXPECT_EQ(1780000000000, record->started_ms);
-	EXPECT_EQ(250000, record->warmup_left_us);
+	EXPECT_EQ(250000, record->warmup_remaining_us);
 	EXPECT_EQ(9, record->revision);
 	registration_destroy(record);
 }
@@ -253,7 +253,8 @@
 	const char *body;
 	JsonObject *object;
 
-	platform_dialect.write_move("10.0.0.1:1", id, "10.0.0.2:2", out);
+	platform_dialect.write_move_request("10.0.0.1:1", id, "10.0.0.2:2",
+					    out);
 	body = strstr(out->str, "\r\n\r\n");
 	ASSERT_NE(nullptr, body);
 	ASSERT_TRUE(json_parser_load_from_data(parser, body, -1, nullptr));
@@ -326,7 +327,7 @@
 		platform_dialect.read_answer(head, &answer);
 		EXPECT_EQ(status == 408 || status == 421 || status == 429 ||
 				  status == 503,
-			  answer.promises_not_run)
+			  answer.status_implies_not_run)
 			<< status;
 		EXPECT_FALSE(answer.did_not_run) << status;
 		http_head_destroy(head);
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -51,11 +51,12 @@
 TEST(Admission, KnownPeakIsJustBeforeAnEnd)
 {
 	GArray *known =
-		g_array_new(FALSE, FALSE, sizeof(struct admission_known));
-	const struct admission_known items[] = {{100, 10}, {50, 100}, {10, 60}};
+		g_array_new(FALSE, FALSE, sizeof(struct admission_known_run));
+	const struct admission_known_run items[] = {
+		{100, 10}, {50, 100}, {10, 60}};
 
 	g_array_append_vals(known, items, 3);
-	EXPECT_EQ(190, admission_known_peak(known));
+	EXPECT_EQ(190, admission_exact_peak(known));
 	g_array_unref(known);
 }
 
@@ -74,7 +75,7 @@
 
 	length_estimate_options_default(&options);
 	estimate = length_estimate_create(&options);
-	cls = length_estimate_class(estimate, "a", 100, 0);
+	cls = length_estimate_get_class(estimate, "a", 100, 0);
 	for (int i = 1; i < 500; i++)
 		length_class_count_end(cls, 0, i);
 	admission_demand_fill(&demand, length_class_curve(cls), 100, 0, 0);
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -30,7 +30,7 @@
 	EXPECT_FALSE(quarantine_report_crash(quarantine, 1, "a:1", 10));
 	EXPECT_FALSE(quarantine_report_crash(quarantine, 2, "a:1", 10));
 	EXPECT_TRUE(quarantine_is_suspect(quarantine, 2, 11));
-	quarantine_report_whole(quarantine, 2);
+	quarantine_report_success(quarantine, 2);
 	EXPECT_TRUE(quarantine_report_crash(quarantine, 1, "b:1", 20));
 	EXPECT_FALSE(quarantine_report_crash(quarantine, 2, "b:1", 20));
 	EXPECT_EQ(20 + options.hold_us, quarantine_until_us(quarantine, 1, 21));
@@ -77,6 +77,6 @@
 	EXPECT_FALSE(quarantine_report_crash(quarantine, 7, "e1", 1000));
 	EXPECT_TRUE(quarantine_report_crash(quarantine, 7, "e2", 2000));
 	EXPECT_NE(0, quarantine_until_us(quarantine, 7, 3000));
-	quarantine_report_whole(quarantine, 7);
+	quarantine_report_success(quarantine, 7);
 	EXPECT_EQ(0, quarantine_until_us(quarantine, 7, 3000));
 }
--- a/tests/registry_test.cc
+++ b/tests/registry_test.cc
@@ -39,7 +39,7 @@
 	bool apply(struct registration *update, bool doubtful = false)
 	{
 		bool changed =
-			registry_take(registry, update, doubtful, now_us);
+			registry_apply(registry, update, doubtful, now_us);
 
 		registration_destroy(update);
 		return changed;
@@ -84,11 +84,11 @@
 	known_us = engine->known_us;
 	now_us += second_us;
 	apply(entry("e1", 6, false, 100));
-	EXPECT_TRUE(endpoint_keeps_since(engine, known_us));
+	EXPECT_TRUE(endpoint_is_same_start(engine, known_us));
 	now_us += second_us;
 	apply(entry("e1", 7, false, 200));
 	EXPECT_TRUE(endpoint_is_usable(engine));
-	EXPECT_FALSE(endpoint_keeps_since(engine, known_us));
+	EXPECT_FALSE(endpoint_is_same_start(engine, known_us));
 }
 
 /*
@@ -117,7 +117,7 @@
 	apply(entry("e2", 5));
 	EXPECT_TRUE(remove("e1", 8, true));
 	EXPECT_TRUE(remove("e2", 9, true));
-	EXPECT_EQ(2u, registry_ready_count(registry, "engines"));
+	EXPECT_EQ(2u, registry_count_usable(registry, "engines"));
 	EXPECT_TRUE(apply(entry("e1", 10)));
 	step(now_us - 1);
 	EXPECT_EQ(PRESENCE_DOUBTED, presence("e2"));
@@ -145,7 +145,7 @@
 	apply(entry("old", 4));
 	apply(entry("newer", 20));
 	g_ptr_array_add(list, entry("found", 9));
-	registry_take_all(registry, list, 10, false, now_us, changed);
+	registry_apply_listing(registry, list, 10, false, now_us, changed);
 	EXPECT_EQ(2u, changed->len);
 	EXPECT_EQ(PRESENCE_GONE, presence("old"));
 	EXPECT_EQ(PRESENCE_READY, presence("newer"));
@@ -195,13 +195,13 @@
 	auto announce = [&](const char *node, int32_t requests) {
 		struct peer_message *message =
 			peer_message_create(PEER_STANDING);
-		struct peer_held *one = peer_standing_add(&message->standing,
-							  endpoint_key("e1"));
+		struct peer_held *one = peer_standing_add_held(
+			&message->standing, endpoint_key("e1"));
 
 		one->requests = requests;
 		one->tokens = requests * 100;
-		registry_take_held(registry, node, 1, message->standing.held,
-				   now_us);
+		registry_set_node_held(registry, node, 1,
+				       message->standing.held, now_us);
 		peer_message_destroy(message);
 	};
 
@@ -212,7 +212,7 @@
 	now_us += second_us;
 	announce("n1", 1);
 	EXPECT_EQ(5, registry_find(registry, "e1")->others.requests);
-	registry_forget_silent(registry, now_us);
+	registry_expire_nodes(registry, now_us);
 	EXPECT_EQ(1, registry_find(registry, "e1")->others.requests);
 	EXPECT_EQ(100, registry_find(registry, "e1")->others.tokens);
 }
@@ -227,21 +227,23 @@
 	struct peer_message *message = peer_message_create(PEER_STANDING);
 	GArray *held = message->standing.held;
 
-	peer_standing_add(&message->standing, endpoint_key("e1"))->requests = 3;
-	peer_standing_add(&message->standing, endpoint_key("e2"))->requests = 4;
+	peer_standing_add_held(&message->standing, endpoint_key("e1"))
+		->requests = 3;
+	peer_standing_add_held(&message->standing, endpoint_key("e2"))
+		->requests = 4;
 	apply(entry("e1", 4));
-	registry_take_held(registry, "n1", 1, held, now_us);
+	registry_set_node_held(registry, "n1", 1, held, now_us);
 	remove("e1", 5);
 	now_us += 61 * second_us;
 	step(INT64_MIN);
 	ASSERT_EQ(nullptr, registry_find(registry, "e1"));
-	registry_take_held(registry, "n1", 1, held, now_us);
+	registry_set_node_held(registry, "n1", 1, held, now_us);
 	apply(entry("e1", 6));
 	apply(entry("e2", 6));
 	EXPECT_EQ(3, registry_find(registry, "e1")->others.requests);
 	EXPECT_EQ(4, registry_find(registry, "e2")->others.requests);
 	g_array_set_size(held, 0);
-	registry_take_held(registry, "n1", 1, held, now_us);
+	registry_set_node_held(registry, "n1", 1, held, now_us);
 	EXPECT_EQ(0, registry_find(registry, "e1")->others.requests);
 	EXPECT_EQ(0, registry_find(registry, "e2")->others.requests);
 	peer_message_destroy(message);
--- a/tests/retry_budget_test.cc
+++ b/tests/retry_budget_test.cc
@@ -16,7 +16,7 @@
 	retry_budget_options_default(&options);
 	budget = retry_budget_create(&options);
 	for (int i = 0; i < 10000; i++) {
-		retry_budget_count_first(budget);
+		retry_budget_count_request(budget);
 		while (retry_budget_take(budget))
 			retries++;
 	}
@@ -34,7 +34,7 @@
 	retry_budget_options_default(&options);
 	budget = retry_budget_create(&options);
 	for (int i = 0; i < 100000; i++)
-		retry_budget_count_first(budget);
+		retry_budget_count_request(budget);
 	while (retry_budget_take(budget))
 		retries++;
 	EXPECT_EQ(options.burst, retries);
--- a/tests/retry_window_test.cc
+++ b/tests/retry_window_test.cc
@@ -11,7 +11,7 @@
 void CountRequests(struct retry_window *window, int count)
 {
 	for (int i = 0; i < count; i++)
-		retry_window_count_first(window);
+		retry_window_count_request(window);
 }
 
 int TakeAll(struct retry_window *window)
@@ -72,9 +72,9 @@
 
 	retry_window_set_limits(window, 20, 0);
 	CountRequests(window, 100);
-	EXPECT_EQ(20, retry_window_left(window));
+	EXPECT_EQ(20, retry_window_remaining(window));
 	retry_window_step(window, 60 * kSecond);
-	EXPECT_EQ(0, retry_window_left(window));
+	EXPECT_EQ(0, retry_window_remaining(window));
 	retry_window_destroy(window);
 }
 
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -106,7 +106,7 @@
 				return false;
 			now_us += 100 * MS;
 			finish_loading();
-			kv_model_step(model, now_us);
+			kv_model_expire_leases(model, now_us);
 			for (auto *n : nodes)
 				n->step();
 			EXPECT_LE(out_of_use(), max_out);
@@ -124,7 +124,7 @@
 		engine &e = engines[o.address];
 
 		if (e.dead)
-			return ORDER_LOST;
+			return ORDER_UNCONFIRMED;
 		if (e.checks_fence && o.fence < e.fence)
 			return ORDER_STALE;
 		e.fence = std::max(e.fence, o.fence);
@@ -135,7 +135,7 @@
 			e.loading = o.target;
 			e.ready_us = now_us + LOAD_US;
 		}
-		return ORDER_TAKEN;
+		return ORDER_ACCEPTED;
 	}
 
 	bool all_run(const std::string &target) const
@@ -283,7 +283,7 @@
 			lose_next_write_answer = false;
 		}
 		EXPECT_TRUE(holder_kv(holder, &answer, w->now_us, next) ||
-			    rollout_kv(rollout, &answer, w->now_us));
+			    rollout_handle_kv(rollout, &answer, w->now_us));
 		kv_answer_clear(&answer);
 	}
 	if (action_list_count(next))
@@ -296,10 +296,10 @@
 	enum order_outcome outcome = w->deliver(o);
 
 	if (lose_order_answers)
-		outcome = ORDER_LOST;
+		outcome = ORDER_UNCONFIRMED;
 	struct event_order event = {o.address.c_str(), outcome};
 
-	rollout_order(rollout, &event, w->now_us);
+	rollout_handle_order(rollout, &event, w->now_us);
 }
 
 void node::read(const char *address)
@@ -309,7 +309,7 @@
 		address, e.dead ? nullptr : e.target.c_str(),
 		!e.loading.empty(), w->now_us < e.busy_until_us};
 
-	rollout_order_state(rollout, &state, w->now_us);
+	rollout_handle_order_state(rollout, &state, w->now_us);
 }
 
 void node::serve(GArray *effects)
@@ -327,7 +327,7 @@
 		case ROLLOUT_TAKE_OUT:
 			w->taken_out[effect->address]++;
 			break;
-		case ROLLOUT_PUT_IN:
+		case ROLLOUT_PUT_BACK:
 			w->taken_out[effect->address]--;
 			w->avoided_until[effect->address] =
 				w->now_us + 30 * SECOND;
@@ -439,7 +439,7 @@
 	holder = w.add("n2", "v3");
 	ASSERT_TRUE(w.run_until([&] { return is_done(holder); }));
 	EXPECT_EQ(ORDER_STALE, w.deliver(paused->late[0]));
-	rollout_order(paused->rollout, &refused, w.now_us);
+	rollout_handle_order(paused->rollout, &refused, w.now_us);
 	EXPECT_EQ(0, holder_fence(paused->holder));
 	w.run(60 * SECOND);
 	EXPECT_TRUE(w.all_run("v3"));
@@ -457,7 +457,7 @@
 	order late = {"e5:1", "v2", 1};
 
 	ASSERT_TRUE(w.run_until([&] { return is_done(holder); }));
-	EXPECT_EQ(ORDER_TAKEN, w.deliver(late));
+	EXPECT_EQ(ORDER_ACCEPTED, w.deliver(late));
 	w.run(LOAD_US + SECOND);
 	ASSERT_TRUE(w.run_until(
 		[&] { return is_done(holder) && w.all_run("v3"); }));
--- a/tests/shared_budgets_test.cc
+++ b/tests/shared_budgets_test.cc
@@ -90,7 +90,7 @@
 				shared_budgets_step(node, known, now_us);
 				budget = shared_budgets_get(node, "portal");
 				for (int64_t i = 0; i < requests_per_tick; i++)
-					retry_window_count_first(budget);
+					retry_window_count_request(budget);
 				while (retry_window_take(budget))
 					sent++;
 			}
@@ -164,7 +164,8 @@
 {
 	CreateNodes(1);
 	StepIdle(30, 6);
-	EXPECT_EQ(6, retry_window_left(shared_budgets_get(nodes[0], "portal")));
+	EXPECT_EQ(6, retry_window_remaining(
+			     shared_budgets_get(nodes[0], "portal")));
 }
 
 /*
@@ -181,7 +182,7 @@
 	shared_budgets_set_limits(nodes[0], 20, 162);
 	budget = shared_budgets_get(nodes[0], "engines");
 	for (int i = 0; i < 10; i++)
-		retry_window_count_first(budget);
+		retry_window_count_request(budget);
 	EXPECT_TRUE(retry_window_take(budget));
 	EXPECT_TRUE(retry_window_take(budget));
 }
@@ -197,8 +198,8 @@
 	other = shared_budgets_get(nodes[0], "engines");
 	while (retry_window_take(one))
 		;
-	EXPECT_EQ(0, retry_window_left(one));
-	EXPECT_GT(retry_window_left(other), 0);
+	EXPECT_EQ(0, retry_window_remaining(one));
+	EXPECT_GT(retry_window_remaining(other), 0);
 }
 
 /* Repeated changes of the settings file do not add retries. */
@@ -209,10 +210,10 @@
 	CreateNodes(1);
 	StepIdle(30, 1);
 	budget = shared_budgets_get(nodes[0], "portal");
-	EXPECT_GT(retry_window_left(budget), 0);
+	EXPECT_GT(retry_window_remaining(budget), 0);
 	while (retry_window_take(budget))
 		;
 	for (int i = 0; i < 10; i++)
 		shared_budgets_set_limits(nodes[0], 20, 54 + i % 2);
-	EXPECT_EQ(0, retry_window_left(budget));
+	EXPECT_EQ(0, retry_window_remaining(budget));
 }
--- a/tests/soak/soak_caller.c
+++ b/tests/soak/soak_caller.c
@@ -118,11 +118,11 @@
 static struct soak_session *caller_connect(struct caller *caller,
 					   const char *front)
 {
-	g_autofree char *via = soak_view_way_to(caller->view, front);
+	g_autofree char *via = soak_view_connect_address(caller->view, front);
 	struct error error = {0};
 
 	if (caller->kept && g_strcmp0(caller->kept_front, front) == 0 &&
-	    soak_session_is_sound(caller->kept))
+	    soak_session_is_reusable(caller->kept))
 		return g_steal_pointer(&caller->kept);
 	return soak_session_create(
 		via, g_get_monotonic_time() + CONNECT_TIMEOUT_US, &error);
@@ -132,7 +132,7 @@
 				      struct soak_session *connection)
 {
 	if (caller->behaviour != BEHAVIOUR_KEEP_ALIVE ||
-	    !soak_session_is_sound(connection)) {
+	    !soak_session_is_reusable(connection)) {
 		soak_session_destroy(connection);
 		return;
 	}
@@ -187,7 +187,7 @@
 						  until_us, disconnect_bytes);
 			if (attempt->end == SOAK_END_TIMEOUT &&
 			    until_us < deadline_us)
-				attempt->end = SOAK_END_LEFT;
+				attempt->end = SOAK_END_STOPPED;
 		}
 		caller_release_connection(caller, front, connection);
 	}
@@ -204,14 +204,14 @@
 {
 	int32_t status = attempt->answer->status;
 
-	if (attempt->end == SOAK_END_REFUSED)
+	if (attempt->end == SOAK_END_NOT_SENT)
 		return true;
-	if (attempt->end == SOAK_END_WHOLE && is_not_executed_status(status))
+	if (attempt->end == SOAK_END_COMPLETE && is_not_executed_status(status))
 		return true;
-	if (attempt->end == SOAK_END_LEFT ||
+	if (attempt->end == SOAK_END_STOPPED ||
 	    attempt->kind != SOAK_KIND_IDEMPOTENT)
 		return false;
-	return attempt->end != SOAK_END_WHOLE || status >= 500;
+	return attempt->end != SOAK_END_COMPLETE || status >= 500;
 }
 
 static void caller_wait_to_retry(struct caller *caller,
@@ -245,7 +245,7 @@
 			return;
 		attempt =
 			caller_attempt(caller, kind, path, front, deadline_us);
-		if (attempt->end == SOAK_END_REFUSED ||
+		if (attempt->end == SOAK_END_NOT_SENT ||
 		    attempt->end == SOAK_END_RESET)
 			soak_directory_note_failed(caller->directory, front);
 		if (!may_retry(attempt))
@@ -304,7 +304,7 @@
 	struct caller *caller = data;
 	int32_t node = caller->number;
 
-	for (int32_t i = 0; soak_view_goes_on(caller->view); i++) {
+	for (int32_t i = 0; soak_view_has_probes(caller->view); i++) {
 		int32_t newest = soak_view_version(caller->view);
 		int32_t version = i % 2 ? newest - ROUTE_LIFE_VERSIONS : newest;
 		g_autofree char *front = soak_view_front(caller->view, node);
@@ -317,7 +317,7 @@
 				g_get_monotonic_time() + PLAIN_DEADLINE_US);
 			attempt->version = version;
 			if (attempt->answer->status == 200)
-				soak_view_note_served(caller->view, node);
+				soak_view_record_served(caller->view, node);
 		}
 		g_usleep(PROBE_EVERY_US);
 	}
--- a/tests/soak/soak_connection.c
+++ b/tests/soak/soak_connection.c
@@ -77,7 +77,8 @@
 {
 	struct side *side = &connection->sides[from];
 	char bytes[READ_BYTES];
-	size_t free_bytes = MIN(soak_pipe_room(side->sent), sizeof(bytes));
+	size_t free_bytes =
+		MIN(soak_pipe_free_bytes(side->sent), sizeof(bytes));
 	g_autoptr(GError) error = NULL;
 	gssize got;
 
@@ -116,7 +117,7 @@
 	sent = g_socket_send(side->socket, bytes, trickles ? 1 : size, NULL,
 			     &error);
 	if (sent > 0) {
-		soak_pipe_drop(pipe, (size_t)sent);
+		soak_pipe_consume(pipe, (size_t)sent);
 		side->next_byte_us = now_us + connection->link->delay_us;
 		connection->answered = to == CLIENT;
 		connection->last_sent_us = now_us;
@@ -174,7 +175,7 @@
 
 static int64_t stray_due_us(const struct soak_connection *connection)
 {
-	if (connection->link->kind != SOAK_LINK_EXTRA ||
+	if (connection->link->kind != SOAK_LINK_UNSOLICITED ||
 	    !connection->answered ||
 	    soak_pipe_get_end(connection->sides[TARGET].sent) != SOAK_PIPE_OPEN)
 		return INT64_MAX;
@@ -233,7 +234,7 @@
 
 	if (connection->connecting && i == TARGET)
 		return G_IO_OUT;
-	if (soak_pipe_room(side->sent) > 0 &&
+	if (soak_pipe_free_bytes(side->sent) > 0 &&
 	    soak_pipe_get_end(side->sent) == SOAK_PIPE_OPEN)
 		condition |= G_IO_IN;
 	if (!link_blocks(connection, 1 - i) && !side->failed &&
@@ -339,7 +340,7 @@
 {
 	side->socket = socket;
 	side->sent = soak_pipe_create();
-	soak_socket_hurry(socket);
+	soak_socket_configure(socket);
 }
 
 /*
--- a/tests/soak/soak_evidence.c
+++ b/tests/soak/soak_evidence.c
@@ -22,7 +22,7 @@
 
 /*
  * Returns an attempt that begins now, with an empty answer, and the end
- * SOAK_END_REFUSED until the caller sets another. Copies the strings; the
+ * SOAK_END_NOT_SENT until the caller sets another. Copies the strings; the
  * caller owns the attempt.
  */
 struct soak_attempt *soak_attempt_create(enum soak_kind kind, const char *id,
@@ -36,7 +36,7 @@
 	attempt->front = g_strdup(front);
 	attempt->begun_us = g_get_monotonic_time();
 	attempt->answer = soak_answer_create();
-	attempt->end = SOAK_END_REFUSED;
+	attempt->end = SOAK_END_NOT_SENT;
 	return attempt;
 }
 
@@ -90,8 +90,8 @@
 	evidence->entries = g_ptr_array_new_with_free_func(entry_destroy);
 	evidence->lives = g_ptr_array_new_with_free_func(life_destroy);
 	evidence->failures = g_ptr_array_new_with_free_func(g_free);
-	evidence->disruptions =
-		g_array_new(FALSE, TRUE, sizeof(struct soak_disruption));
+	evidence->fault_records =
+		g_array_new(FALSE, TRUE, sizeof(struct soak_fault_record));
 	evidence->versions =
 		g_array_new(FALSE, TRUE, sizeof(struct soak_version));
 	evidence->leavings =
@@ -110,7 +110,7 @@
 	g_ptr_array_unref(evidence->entries);
 	g_ptr_array_unref(evidence->lives);
 	g_ptr_array_unref(evidence->failures);
-	g_array_unref(evidence->disruptions);
+	g_array_unref(evidence->fault_records);
 	g_array_unref(evidence->versions);
 	g_array_unref(evidence->leavings);
 	g_free(evidence);
--- a/tests/soak/soak_evidence.h
+++ b/tests/soak/soak_evidence.h
@@ -62,14 +62,14 @@
 	int64_t term_us; /* of SIGTERM; 0: none was sent */
 	bool was_killed; /* by the soak */
 	int status;	 /* once it has ended; minus the signal if killed */
-	int64_t most_resident_bytes;
-	int64_t most_open_files;
+	int64_t peak_resident_bytes;
+	int64_t peak_open_files;
 	int64_t log_bytes;
 	char *log_path;
 };
 
 /* A fault or an operator's action, with the time it lasted. */
-struct soak_disruption {
+struct soak_fault_record {
 	enum soak_fault_kind kind;
 	char who[32]; /* name of a process, "store", "nodes", "operator" */
 	int64_t from_us;
@@ -97,7 +97,7 @@
 	GPtrArray *attempts;	/* struct soak_attempt */
 	GPtrArray *entries;	/* struct soak_entry, by time */
 	GPtrArray *lives;	/* struct soak_life */
-	GArray *disruptions;	/* struct soak_disruption */
+	GArray *fault_records;	/* struct soak_fault_record */
 	GArray *versions;	/* struct soak_version */
 	GArray *leavings;	/* struct soak_leaving */
 	GPtrArray *failures;	/* char *: found by the soak itself */
--- a/tests/soak/soak_fault.c
+++ b/tests/soak/soak_fault.c
@@ -38,7 +38,7 @@
 static void node_rename(struct soak_fleet *fleet, struct soak_member *member)
 {
 	member_kill(fleet, member);
-	member->comes_renamed = true;
+	member->starts_renamed = true;
 }
 
 static void member_pause(struct soak_fleet *fleet, struct soak_member *member)
@@ -63,10 +63,10 @@
 	if (!member->life)
 		return;
 	if (member->is_paused) {
-		g_ptr_array_add(member->waiting_modes, g_strdup(json));
+		g_ptr_array_add(member->deferred_modes, g_strdup(json));
 		return;
 	}
-	if (!soak_platform_mode(member->address, json, &error))
+	if (!soak_platform_set_mode(member->address, json, &error))
 		soak_fleet_note_failure(fleet, "%s: %s: %s", member->name, json,
 					error.detail);
 }
@@ -74,9 +74,9 @@
 static void apply_waiting_modes(struct soak_fleet *fleet,
 				struct soak_member *member)
 {
-	g_autoptr(GPtrArray) modes = member->waiting_modes;
+	g_autoptr(GPtrArray) modes = member->deferred_modes;
 
-	member->waiting_modes = g_ptr_array_new_with_free_func(g_free);
+	member->deferred_modes = g_ptr_array_new_with_free_func(g_free);
 	for (guint i = 0; i < modes->len; i++)
 		member_mode(fleet, member, g_ptr_array_index(modes, i));
 }
@@ -89,8 +89,8 @@
 	member->is_paused = false;
 	soak_process_signal(member->process, SIGCONT);
 	apply_waiting_modes(fleet, member);
-	if (member->end_by_us)
-		member->end_by_us =
+	if (member->exit_deadline_us)
+		member->exit_deadline_us =
 			g_get_monotonic_time() + GRACE_US + GRACE_SLACK_US;
 }
 
@@ -100,7 +100,8 @@
 	if (!member->life || member->life->term_us)
 		return;
 	member->life->term_us = g_get_monotonic_time();
-	member->end_by_us = member->life->term_us + GRACE_US + GRACE_SLACK_US;
+	member->exit_deadline_us =
+		member->life->term_us + GRACE_US + GRACE_SLACK_US;
 	soak_process_signal(member->process, SIGTERM);
 }
 
@@ -146,7 +147,7 @@
 			     struct soak_member *member)
 {
 	endpoint_kill(fleet, member);
-	member->comes_renamed = true;
+	member->starts_renamed = true;
 }
 
 static void record_leaving(struct soak_fleet *fleet, struct soak_member *member)
@@ -196,7 +197,7 @@
 {
 	struct error error = {0};
 
-	if (!soak_platform_mode(fleet->store_address, json, &error))
+	if (!soak_platform_set_mode(fleet->store_address, json, &error))
 		soak_fleet_note_failure(fleet, "store: %s: %s", json,
 					error.detail);
 }
@@ -276,19 +277,20 @@
 	[SOAK_STORE_LINK_RESET] = {.link = {SOAK_LINK_RESET, 0}},
 	[SOAK_STORE_LINK_SILENT] = {.link = {SOAK_LINK_SILENT, 0}},
 	[SOAK_STORE_LINK_DELAY] = {.link = {SOAK_LINK_DELAY, DELAY_US}},
-	[SOAK_STORE_LINK_HOLD] = {.link = {SOAK_LINK_HOLD, 0}},
+	[SOAK_STORE_LINK_HOLD] = {.link = {SOAK_LINK_HOLD_ANSWERS, 0}},
 	[SOAK_CALLER_LINK_RESET] = {.link = {SOAK_LINK_RESET, 0}},
 	[SOAK_CALLER_LINK_CUT] = {.link = {SOAK_LINK_CUT_BOTH, 0}},
 	[SOAK_CALLER_LINK_DELAY] = {.link = {SOAK_LINK_DELAY, DELAY_US}},
 	[SOAK_ENGINE_LINK_RESET] = {.link = {SOAK_LINK_RESET, 0}},
 	[SOAK_ENGINE_LINK_CUT] = {.link = {SOAK_LINK_CUT_BOTH, 0}},
-	[SOAK_ENGINE_LINK_CUT_BACK] = {.link = {SOAK_LINK_CUT_BACK, 0}},
+	[SOAK_ENGINE_LINK_CUT_BACK] = {.link = {SOAK_LINK_CUT_BACKWARD, 0}},
 	[SOAK_ENGINE_LINK_SILENT] = {.link = {SOAK_LINK_SILENT, 0}},
 	[SOAK_ENGINE_LINK_DELAY] = {.link = {SOAK_LINK_DELAY, DELAY_US}},
 	[SOAK_PLAIN_LINK_RESET] = {.link = {SOAK_LINK_RESET, 0}},
-	[SOAK_PLAIN_LINK_CUT_BACK] = {.link = {SOAK_LINK_CUT_BACK, 0}},
+	[SOAK_PLAIN_LINK_CUT_BACK] = {.link = {SOAK_LINK_CUT_BACKWARD, 0}},
 	[SOAK_PLAIN_LINK_TRICKLE] = {.link = {SOAK_LINK_TRICKLE, TRICKLE_US}},
-	[SOAK_PLAIN_LINK_EXTRA] = {.link = {SOAK_LINK_EXTRA, STRAY_IDLE_US}},
+	[SOAK_PLAIN_LINK_EXTRA] = {.link = {SOAK_LINK_UNSOLICITED,
+					    STRAY_IDLE_US}},
 };
 
 static struct soak_member *fault_target(struct soak_fleet *fleet,
@@ -350,14 +352,15 @@
 
 	if (!soak_fault_type_at(fault->kind)->is_link || !member)
 		return NULL;
-	return soak_fault_type_at(fault->kind)->is_to_store ? member->store_way
-							    : member->way;
+	return soak_fault_type_at(fault->kind)->is_to_store
+		       ? member->store_proxy
+		       : member->proxy;
 }
 
 static void proxy_set(struct soak_proxy *proxy, const struct soak_link *link)
 {
 	if (proxy)
-		soak_proxy_set(proxy, link);
+		soak_proxy_set_link(proxy, link);
 }
 
 /* The fake store identifies a node by the source of its connections. */
@@ -372,7 +375,8 @@
 }
 
 /* Begins a fault and records it. */
-void soak_fleet_begin(struct soak_fleet *fleet, const struct soak_fault *fault)
+void soak_fleet_begin_fault(struct soak_fleet *fleet,
+			    const struct soak_fault *fault)
 {
 	soak_fleet_record_fault(fleet, fault->kind,
 				fault_target_name(fleet, fault));
@@ -389,9 +393,10 @@
 }
 
 /* Ends a fault and records its end. */
-void soak_fleet_end(struct soak_fleet *fleet, const struct soak_fault *fault)
+void soak_fleet_end_fault(struct soak_fleet *fleet,
+			  const struct soak_fault *fault)
 {
-	static const struct soak_link normal = {SOAK_LINK_SOUND, 0};
+	static const struct soak_link normal = {SOAK_LINK_NORMAL, 0};
 
 	fault_apply(fleet, fault, actions[fault->kind].end,
 		    actions[fault->kind].end_mode);
--- a/tests/soak/soak_fleet.c
+++ b/tests/soak/soak_fleet.c
@@ -65,22 +65,22 @@
 void soak_fleet_record_fault(struct soak_fleet *fleet,
 			     enum soak_fault_kind kind, const char *who)
 {
-	struct soak_disruption row = {.kind = kind};
+	struct soak_fault_record row = {.kind = kind};
 
 	g_strlcpy(row.who, who, sizeof(row.who));
 	row.from_us = g_get_monotonic_time();
-	g_array_append_val(fleet->evidence->disruptions, row);
+	g_array_append_val(fleet->evidence->fault_records, row);
 }
 
 /* Records the end of the last open fault of that kind at who, if any. */
 void soak_fleet_record_fault_end(struct soak_fleet *fleet,
 				 enum soak_fault_kind kind, const char *who)
 {
-	GArray *rows = fleet->evidence->disruptions;
+	GArray *rows = fleet->evidence->fault_records;
 
 	for (guint i = rows->len; i-- > 0;) {
-		struct soak_disruption *row =
-			&g_array_index(rows, struct soak_disruption, i);
+		struct soak_fault_record *row =
+			&g_array_index(rows, struct soak_fault_record, i);
 
 		if (row->kind != kind || row->to_us ||
 		    strcmp(row->who, who) != 0)
@@ -133,7 +133,8 @@
 
 	if (soak_member_end_life(member))
 		member_handle_end(fleet, member, life);
-	if (member->life && member->end_by_us && now_us >= member->end_by_us) {
+	if (member->life && member->exit_deadline_us &&
+	    now_us >= member->exit_deadline_us) {
 		soak_fleet_note_failure(
 			fleet, "%s still runs past its grace after SIGTERM",
 			member->name);
@@ -210,15 +211,15 @@
 		const struct soak_member *member =
 			g_ptr_array_index(members, i);
 
-		if (!member->life || member->is_paused || member->end_by_us ||
-		    member->is_leaving)
+		if (!member->life || member->is_paused ||
+		    member->exit_deadline_us || member->is_leaving)
 			return false;
 	}
 	return true;
 }
 
 /* Whether all members run normally and no deferred action is pending. */
-bool soak_fleet_is_whole(const struct soak_fleet *fleet)
+bool soak_fleet_is_healthy(const struct soak_fleet *fleet)
 {
 	return fleet->deferred->len == 0 && members_are_running(fleet->nodes) &&
 	       members_are_running(fleet->endpoints);
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -28,11 +28,13 @@
 				     struct soak_evidence *evidence);
 void soak_fleet_destroy(struct soak_fleet *fleet);
 bool soak_fleet_start(struct soak_fleet *fleet, struct error *error);
-void soak_fleet_begin(struct soak_fleet *fleet, const struct soak_fault *fault);
-void soak_fleet_end(struct soak_fleet *fleet, const struct soak_fault *fault);
+void soak_fleet_begin_fault(struct soak_fleet *fleet,
+			    const struct soak_fault *fault);
+void soak_fleet_end_fault(struct soak_fleet *fleet,
+			  const struct soak_fault *fault);
 void soak_fleet_wait(int64_t for_us);
 void soak_fleet_tick(struct soak_fleet *fleet);
-bool soak_fleet_is_whole(const struct soak_fleet *fleet);
+bool soak_fleet_is_healthy(const struct soak_fleet *fleet);
 void soak_fleet_stop(struct soak_fleet *fleet);
 
 G_END_DECLS
--- a/tests/soak/soak_fleet_start.c
+++ b/tests/soak/soak_fleet_start.c
@@ -90,8 +90,8 @@
 {
 	if (!soak_schedule_has_links(fleet->schedule, SOAK_TARGET_NODE, true))
 		return true;
-	node->store_way = soak_proxy_create(fleet->store_address, error);
-	return node->store_way != NULL;
+	node->store_proxy = soak_proxy_create(fleet->store_address, error);
+	return node->store_proxy != NULL;
 }
 
 static char *seeds_text(const struct soak_fleet *fleet)
@@ -133,8 +133,8 @@
 		"address_keep_s = %d\n" SETTINGS_GATEWAY,
 		node->id, node->ip, node->ip, seeds, node->address, node->ip,
 		node->ip,
-		node->store_way ? soak_proxy_address(node->store_way)
-				: fleet->store_address,
+		node->store_proxy ? soak_proxy_address(node->store_proxy)
+				  : fleet->store_address,
 		keep_s);
 	g_autoptr(GError) failure = NULL;
 
@@ -156,7 +156,7 @@
 	if (!soak_fleet_write_settings(fleet, node, 2))
 		return false;
 	soak_view_set_node(fleet->view, node->index, node->address,
-			   soak_member_way(node), directory);
+			   soak_member_connect_address(node), directory);
 	return soak_member_begin_life(node, argv, fleet->evidence, error);
 }
 
@@ -199,7 +199,8 @@
 	g_autofree char *key = g_strdup_printf("servers/%s", member->id);
 	g_autofree char *entry = soak_platform_entry(
 		member->role == SOAK_ROLE_PLAIN ? "portal" : "engines",
-		soak_member_way(member), member->is_leaving, member->born_ms);
+		soak_member_connect_address(member), member->is_leaving,
+		member->born_ms);
 	struct error error = {0};
 
 	if (!member->life || member->is_paused)
@@ -236,7 +237,7 @@
 
 	if (member->life)
 		return;
-	if (member->comes_renamed || member->is_leaving) {
+	if (member->starts_renamed || member->is_leaving) {
 		if (!is_node)
 			soak_fleet_unregister(fleet, member);
 		is_named = soak_fleet_rename(fleet, member, &error);
@@ -256,7 +257,8 @@
 /* Writes the next version of the configuration to the store, and records it. */
 void soak_fleet_configure(struct soak_fleet *fleet)
 {
-	g_autofree char *document = soak_platform_document(++fleet->version);
+	g_autofree char *document =
+		soak_platform_configuration(++fleet->version);
 	struct soak_version row = {.index = fleet->version};
 	struct error error = {0};
 
--- a/tests/soak/soak_http.c
+++ b/tests/soak/soak_http.c
@@ -46,10 +46,13 @@
 const char *soak_end_name(enum soak_end end)
 {
 	static const char *const names[] = {
-		[SOAK_END_WHOLE] = "whole",	[SOAK_END_CLOSED] = "closed",
-		[SOAK_END_RESET] = "reset",	[SOAK_END_TIMEOUT] = "timeout",
-		[SOAK_END_LEFT] = "left",	[SOAK_END_GARBLED] = "garbled",
-		[SOAK_END_REFUSED] = "refused",
+		[SOAK_END_COMPLETE] = "whole",
+		[SOAK_END_CLOSED] = "closed",
+		[SOAK_END_RESET] = "reset",
+		[SOAK_END_TIMEOUT] = "timeout",
+		[SOAK_END_STOPPED] = "left",
+		[SOAK_END_MALFORMED] = "garbled",
+		[SOAK_END_NOT_SENT] = "refused",
 	};
 
 	return names[end];
@@ -135,7 +138,7 @@
  * Whether the session can carry another request: nothing has failed on it, and
  * the peer has neither closed it nor sent unsolicited data.
  */
-bool soak_session_is_sound(const struct soak_session *session)
+bool soak_session_is_reusable(const struct soak_session *session)
 {
 	return !session->is_broken &&
 	       !g_socket_condition_check(session->socket,
@@ -251,11 +254,11 @@
 	size_t parsed = http_parser_execute(parser, &settings, bytes, size);
 
 	if (reader->is_complete) {
-		*end = parsed < size ? SOAK_END_GARBLED : SOAK_END_WHOLE;
+		*end = parsed < size ? SOAK_END_MALFORMED : SOAK_END_COMPLETE;
 		return false;
 	}
 	if (HTTP_PARSER_ERRNO(parser) != HPE_OK)
-		*end = size == 0 ? SOAK_END_CLOSED : SOAK_END_GARBLED;
+		*end = size == 0 ? SOAK_END_CLOSED : SOAK_END_MALFORMED;
 	else
 		*end = SOAK_END_CLOSED;
 	return HTTP_PARSER_ERRNO(parser) == HPE_OK && size > 0;
@@ -285,7 +288,7 @@
 			return end;
 		if (stop_after_bytes > 0 &&
 		    (int64_t)reader->answer->body->len >= stop_after_bytes)
-			return SOAK_END_LEFT;
+			return SOAK_END_STOPPED;
 	}
 }
 
@@ -308,7 +311,7 @@
 	parser.data = &reader;
 	end = read_answer(session->socket, &parser, deadline_us,
 			  stop_after_bytes);
-	session->is_broken = end != SOAK_END_WHOLE || !answer->keeps_alive;
+	session->is_broken = end != SOAK_END_COMPLETE || !answer->keeps_alive;
 	g_string_free(reader.field, TRUE);
 	g_string_free(reader.value, TRUE);
 	return end;
@@ -330,16 +333,16 @@
 		"\r\nConnection: close\r\n\r\n%s",
 		method, path, address, body ? strlen(body) : 0,
 		body ? body : "");
-	enum soak_end end = SOAK_END_REFUSED;
+	enum soak_end end = SOAK_END_NOT_SENT;
 
 	if (!session)
 		return false;
 	if (soak_session_send(session, text, deadline_us, error)) {
 		end = soak_session_read(session, answer, deadline_us, 0);
-		if (end != SOAK_END_WHOLE)
+		if (end != SOAK_END_COMPLETE)
 			error_set(error, ERROR_CLOSED, STEP_CALL, address, "%s",
 				  soak_end_name(end));
 	}
 	soak_session_destroy(session);
-	return end == SOAK_END_WHOLE;
+	return end == SOAK_END_COMPLETE;
 }
--- a/tests/soak/soak_http.h
+++ b/tests/soak/soak_http.h
@@ -18,13 +18,13 @@
 
 /* How reading an answer ended. */
 enum soak_end {
-	SOAK_END_WHOLE,
-	SOAK_END_CLOSED,  /* the peer closed before the end of the answer */
-	SOAK_END_RESET,	  /* reset, or another connection error */
-	SOAK_END_TIMEOUT, /* no more data before the deadline */
-	SOAK_END_LEFT,	  /* the requested number of body bytes was read */
-	SOAK_END_GARBLED, /* invalid answer, or bytes after its end */
-	SOAK_END_REFUSED, /* no connection, so nothing was sent */
+	SOAK_END_COMPLETE,
+	SOAK_END_CLOSED,    /* the peer closed before the end of the answer */
+	SOAK_END_RESET,	    /* reset, or another connection error */
+	SOAK_END_TIMEOUT,   /* no more data before the deadline */
+	SOAK_END_STOPPED,   /* the requested number of body bytes was read */
+	SOAK_END_MALFORMED, /* invalid answer, or bytes after its end */
+	SOAK_END_NOT_SENT,  /* no connection, so nothing was sent */
 };
 
 struct soak_answer {
@@ -44,7 +44,7 @@
 					 int64_t deadline_us,
 					 struct error *error);
 void soak_session_destroy(struct soak_session *session);
-bool soak_session_is_sound(const struct soak_session *session);
+bool soak_session_is_reusable(const struct soak_session *session);
 bool soak_session_send(struct soak_session *session, const char *text,
 		       int64_t deadline_us, struct error *error);
 enum soak_end soak_session_read(struct soak_session *session,
--- a/tests/soak/soak_judge.c
+++ b/tests/soak/soak_judge.c
@@ -21,7 +21,7 @@
 
 static void finding_destroy(gpointer data)
 {
-	struct soak_find *finding = data;
+	struct soak_finding *finding = data;
 
 	g_free(finding->symptom);
 	g_free(finding->request);
@@ -32,7 +32,7 @@
 void soak_check_add_finding(struct soak_check *check, const char *request,
 			    int64_t at_us, const char *format, ...)
 {
-	struct soak_find *finding = g_new0(struct soak_find, 1);
+	struct soak_finding *finding = g_new0(struct soak_finding, 1);
 	va_list arguments;
 
 	va_start(arguments, format);
@@ -60,7 +60,7 @@
 	return g_hash_table_lookup(check->attempt_of, request);
 }
 
-static bool is_unplanned_fault(const struct soak_disruption *row)
+static bool is_unplanned_fault(const struct soak_fault_record *row)
 {
 	return !soak_fault_type_at(row->kind)->is_planned;
 }
@@ -69,11 +69,11 @@
 bool soak_check_has_fault(const struct soak_check *check, const char *target,
 			  int64_t from_us, int64_t to_us)
 {
-	const GArray *rows = check->evidence->disruptions;
+	const GArray *rows = check->evidence->fault_records;
 
 	for (guint i = 0; i < rows->len; i++) {
-		const struct soak_disruption *row =
-			&g_array_index(rows, struct soak_disruption, i);
+		const struct soak_fault_record *row =
+			&g_array_index(rows, struct soak_fault_record, i);
 
 		if (is_unplanned_fault(row) && strcmp(row->who, target) == 0 &&
 		    row->from_us <= to_us &&
@@ -158,7 +158,7 @@
 
 /*
  * Runs all checks on the evidence of one run, which they don't change. Returns
- * the findings (struct soak_find), which the caller owns.
+ * the findings (struct soak_finding), which the caller owns.
  */
 GPtrArray *soak_check(const struct soak_schedule *schedule,
 		      const struct soak_evidence *evidence)
--- a/tests/soak/soak_judge.h
+++ b/tests/soak/soak_judge.h
@@ -9,7 +9,7 @@
 G_BEGIN_DECLS
 
 /* A guarantee of the product that a run violated. */
-struct soak_find {
+struct soak_finding {
 	char *symptom;
 	char *request; /* NULL: not about a single request */
 	int64_t at_us;
@@ -18,7 +18,7 @@
 /*
  * Checks what callers and engines recorded in a run against the product's
  * guarantees; what the product states about itself is not evidence. The caller
- * owns the findings (struct soak_find).
+ * owns the findings (struct soak_finding).
  */
 GPtrArray *soak_check(const struct soak_schedule *schedule,
 		      const struct soak_evidence *evidence);
--- a/tests/soak/soak_judge_requests.c
+++ b/tests/soak/soak_judge_requests.c
@@ -326,7 +326,7 @@
 	const struct soak_answer *answer = attempt->answer;
 	bool is_success = answer->status >= 200 && answer->status < 300;
 
-	if (attempt->end == SOAK_END_GARBLED)
+	if (attempt->end == SOAK_END_MALFORMED)
 		soak_check_add_finding(
 			check, attempt->id, attempt->ended_us,
 			"bytes that are no answer, or behind one");
@@ -348,7 +348,7 @@
 			"answered %d though all configurations allow "
 			"it",
 			answer->status);
-	if (is_success && attempt->end == SOAK_END_WHOLE &&
+	if (is_success && attempt->end == SOAK_END_COMPLETE &&
 	    attempt->kind != SOAK_KIND_STREAM &&
 	    attempt->kind != SOAK_KIND_POISON)
 		check_plain_body(check, attempt);
@@ -412,7 +412,7 @@
 				"events missing, doubled or foreign "
 				"after %zu bytes: %.60s",
 				common, body->str + common);
-		else if (attempt->end == SOAK_END_WHOLE && text[common])
+		else if (attempt->end == SOAK_END_COMPLETE && text[common])
 			soak_check_add_finding(
 				check, attempt->id, attempt->ended_us,
 				"a stream ended as complete after %zu "
--- a/tests/soak/soak_judge_times.c
+++ b/tests/soak/soak_judge_times.c
@@ -372,15 +372,15 @@
 		LOG_BYTES_PER_SECOND * seconds +
 		LOG_BYTES_PER_REQUEST * count_attempts_at(check, life);
 
-	if (life->most_resident_bytes > MAX_RESIDENT_BYTES)
+	if (life->peak_resident_bytes > MAX_RESIDENT_BYTES)
 		soak_check_add_finding(check, NULL, life->to_us,
 				       "%s used %" PRId64 " MB of memory",
 				       life->name,
-				       life->most_resident_bytes >> 20);
-	if (life->most_open_files > MAX_OPEN_FILES)
+				       life->peak_resident_bytes >> 20);
+	if (life->peak_open_files > MAX_OPEN_FILES)
 		soak_check_add_finding(check, NULL, life->to_us,
 				       "%s had %" PRId64 " descriptors open",
-				       life->name, life->most_open_files);
+				       life->name, life->peak_open_files);
 	if (life->log_bytes > max_log_bytes)
 		soak_check_add_finding(check, NULL, life->to_us,
 				       "%s wrote %" PRId64
--- a/tests/soak/soak_link.c
+++ b/tests/soak/soak_link.c
@@ -7,16 +7,16 @@
 	bool holds_forward;
 	bool holds_back;
 } kinds[SOAK_LINK_KINDS] = {
-	[SOAK_LINK_SOUND] = {"sound", false, false},
+	[SOAK_LINK_NORMAL] = {"sound", false, false},
 	[SOAK_LINK_DELAY] = {"delay", false, false},
 	[SOAK_LINK_RESET] = {"reset", false, false},
 	[SOAK_LINK_CUT_FORWARD] = {"cut_forward", true, false},
-	[SOAK_LINK_CUT_BACK] = {"cut_back", false, true},
+	[SOAK_LINK_CUT_BACKWARD] = {"cut_back", false, true},
 	[SOAK_LINK_CUT_BOTH] = {"cut_both", true, true},
 	[SOAK_LINK_SILENT] = {"silent", false, false},
 	[SOAK_LINK_TRICKLE] = {"trickle", false, false},
-	[SOAK_LINK_EXTRA] = {"extra", false, false},
-	[SOAK_LINK_HOLD] = {"hold", false, true},
+	[SOAK_LINK_UNSOLICITED] = {"extra", false, false},
+	[SOAK_LINK_HOLD_ANSWERS] = {"hold", false, true},
 };
 
 /* Returns the name of a kind as schedules and logs print it. */
--- a/tests/soak/soak_link.h
+++ b/tests/soak/soak_link.h
@@ -12,16 +12,16 @@
  * the connecting side to the listening side.
  */
 enum soak_link_kind {
-	SOAK_LINK_SOUND,
+	SOAK_LINK_NORMAL,
 	SOAK_LINK_DELAY,       /* each byte is delayed by delay_us */
 	SOAK_LINK_RESET,       /* open and new connections are reset */
 	SOAK_LINK_CUT_FORWARD, /* held until the link is normal again */
-	SOAK_LINK_CUT_BACK,
+	SOAK_LINK_CUT_BACKWARD,
 	SOAK_LINK_CUT_BOTH,
-	SOAK_LINK_SILENT,  /* open connections never carry data again */
-	SOAK_LINK_TRICKLE, /* one byte per delay_us */
-	SOAK_LINK_EXTRA,   /* an unsolicited answer after delay_us idle */
-	SOAK_LINK_HOLD,	   /* answers are held until the link is normal */
+	SOAK_LINK_SILENT,	/* open connections never carry data again */
+	SOAK_LINK_TRICKLE,	/* one byte per delay_us */
+	SOAK_LINK_UNSOLICITED,	/* an unsolicited answer after delay_us idle */
+	SOAK_LINK_HOLD_ANSWERS, /* answers are held until the link is normal */
 	SOAK_LINK_KINDS
 };
 
--- a/tests/soak/soak_listener.c
+++ b/tests/soak/soak_listener.c
@@ -159,7 +159,7 @@
 	listener->filler = soak_socket_open(any);
 	if (!listener->filler)
 		return;
-	soak_socket_hurry(listener->filler);
+	soak_socket_configure(listener->filler);
 	from = g_socket_get_local_address(listener->filler, NULL);
 	listener->filler_port = port_of(from);
 	/* If the queue is already full, this one hangs like all others. */
--- a/tests/soak/soak_main.c
+++ b/tests/soak/soak_main.c
@@ -133,7 +133,7 @@
 		const struct soak_fault_type *type =
 			soak_fault_type_at((enum soak_fault_kind)i);
 
-		printf("%-18s %s\n", type->name, type->says);
+		printf("%-18s %s\n", type->name, type->description);
 	}
 }
 
@@ -144,9 +144,9 @@
 		soak_schedule_create(seed, &options->sizes);
 
 	if (options->has_no_faults)
-		soak_schedule_keep_none(schedule);
+		soak_schedule_remove_faults(schedule);
 	if (options->kinds->len > 0)
-		soak_schedule_keep_kinds(schedule, options->kinds);
+		soak_schedule_set_kinds(schedule, options->kinds);
 	return schedule;
 }
 
--- a/tests/soak/soak_member.c
+++ b/tests/soak/soak_member.c
@@ -25,7 +25,7 @@
 	g_snprintf(member->name, sizeof(member->name), "%s%d", role_names[role],
 		   index);
 	member->process = soak_process_create(folder, member->name);
-	member->waiting_modes = g_ptr_array_new_with_free_func(g_free);
+	member->deferred_modes = g_ptr_array_new_with_free_func(g_free);
 	return member;
 }
 
@@ -37,9 +37,9 @@
 	if (!member)
 		return;
 	soak_process_destroy(member->process);
-	g_ptr_array_unref(member->waiting_modes);
-	soak_proxy_destroy(member->way);
-	soak_proxy_destroy(member->store_way);
+	g_ptr_array_unref(member->deferred_modes);
+	soak_proxy_destroy(member->proxy);
+	soak_proxy_destroy(member->store_proxy);
 	g_free(member);
 }
 
@@ -60,18 +60,19 @@
 	g_snprintf(member->address, sizeof(member->address), "%s:%d", ip,
 		   member->role == SOAK_ROLE_NODE ? FRONT_PORT : ENGINE_PORT);
 	member->is_leaving = false;
-	member->comes_renamed = false;
+	member->starts_renamed = false;
 	if (!has_proxy)
 		return true;
-	soak_proxy_destroy(member->way);
-	member->way = soak_proxy_create(member->address, error);
-	return member->way != NULL;
+	soak_proxy_destroy(member->proxy);
+	member->proxy = soak_proxy_create(member->address, error);
+	return member->proxy != NULL;
 }
 
 /* Returns the proxy's address, or the member's own if it has no proxy. */
-const char *soak_member_way(const struct soak_member *member)
+const char *soak_member_connect_address(const struct soak_member *member)
 {
-	return member->way ? soak_proxy_address(member->way) : member->address;
+	return member->proxy ? soak_proxy_address(member->proxy)
+			     : member->address;
 }
 
 /*
@@ -97,9 +98,9 @@
 	member->life = life;
 	member->born_ms = g_get_real_time() / 1000;
 	member->start_us = 0;
-	member->end_by_us = 0;
+	member->exit_deadline_us = 0;
 	member->is_paused = false;
-	g_ptr_array_set_size(member->waiting_modes, 0);
+	g_ptr_array_set_size(member->deferred_modes, 0);
 	return true;
 }
 
@@ -114,7 +115,7 @@
 	life->status = soak_process_status(member->process);
 	life->log_bytes = soak_process_log_bytes(member->process);
 	member->life = NULL;
-	member->end_by_us = 0;
+	member->exit_deadline_us = 0;
 	return true;
 }
 
@@ -135,9 +136,9 @@
 
 	if (!life)
 		return;
-	life->most_resident_bytes =
-		MAX(life->most_resident_bytes,
+	life->peak_resident_bytes =
+		MAX(life->peak_resident_bytes,
 		    soak_process_resident_bytes(member->process));
-	life->most_open_files = MAX(life->most_open_files,
+	life->peak_open_files = MAX(life->peak_open_files,
 				    soak_process_open_files(member->process));
 }
--- a/tests/soak/soak_member.h
+++ b/tests/soak/soak_member.h
@@ -23,19 +23,19 @@
 	int32_t index;
 	char name[32];
 	char ip[32];
-	char id[32];		      /* of an endpoint or a node */
-	char address[48];	      /* front of a node, or endpoint address */
-	struct soak_proxy *way;	      /* in front of address; NULL: none */
-	struct soak_proxy *store_way; /* from a node to the store */
+	char id[32];		  /* of an endpoint or a node */
+	char address[48];	  /* front of a node, or endpoint address */
+	struct soak_proxy *proxy; /* in front of address; NULL: none */
+	struct soak_proxy *store_proxy; /* from a node to the store */
 	struct soak_process *process;
 	struct soak_life *life; /* NULL: not running */
 	bool is_paused;
-	bool is_leaving;	  /* endpoint entry draining or deleted */
-	bool comes_renamed;	  /* new name and address at the next start */
-	GPtrArray *waiting_modes; /* char *: sent once it resumes */
+	bool is_leaving;	   /* endpoint entry draining or deleted */
+	bool starts_renamed;	   /* new name and address at the next start */
+	GPtrArray *deferred_modes; /* char *: sent once it resumes */
 	int64_t born_ms;
-	int64_t start_us;  /* time of the next start; 0: none */
-	int64_t end_by_us; /* exit deadline after SIGTERM; 0: none */
+	int64_t start_us;	  /* time of the next start; 0: none */
+	int64_t exit_deadline_us; /* exit deadline after SIGTERM; 0: none */
 };
 
 struct soak_member *soak_member_create(enum soak_role role, int32_t index,
@@ -43,7 +43,7 @@
 void soak_member_destroy(gpointer member);
 bool soak_member_rename(struct soak_member *member, int32_t generation,
 			const char *ip, bool has_proxy, struct error *error);
-const char *soak_member_way(const struct soak_member *member);
+const char *soak_member_connect_address(const struct soak_member *member);
 bool soak_member_begin_life(struct soak_member *member, const char *const *argv,
 			    struct soak_evidence *evidence,
 			    struct error *error);
--- a/tests/soak/soak_pipe.c
+++ b/tests/soak/soak_pipe.c
@@ -48,7 +48,7 @@
 }
 
 /* Returns how many more bytes fit into the pipe. */
-size_t soak_pipe_room(const struct soak_pipe *pipe)
+size_t soak_pipe_free_bytes(const struct soak_pipe *pipe)
 {
 	return pipe->held_bytes < PIPE_BYTES ? PIPE_BYTES - pipe->held_bytes
 					     : 0;
@@ -123,7 +123,7 @@
 }
 
 /* Removes up to all of the bytes that soak_pipe_peek returned. */
-void soak_pipe_drop(struct soak_pipe *pipe, size_t size)
+void soak_pipe_consume(struct soak_pipe *pipe, size_t size)
 {
 	struct piece *first = g_queue_peek_head(&pipe->pieces);
 
--- a/tests/soak/soak_platform.c
+++ b/tests/soak/soak_platform.c
@@ -56,8 +56,8 @@
 }
 
 /* Sets modes of a fake; returns false and sets error if it fails. */
-bool soak_platform_mode(const char *address, const char *json,
-			struct error *error)
+bool soak_platform_set_mode(const char *address, const char *json,
+			    struct error *error)
 {
 	return post(address, "/fake/mode", json, error);
 }
@@ -77,14 +77,14 @@
  * Returns the path prefix of the route that configuration number index adds;
  * the caller frees it.
  */
-char *soak_platform_route(int32_t index)
+char *soak_platform_route_prefix(int32_t index)
 {
 	return g_strdup_printf("/p%d/", index);
 }
 
 static void append_probe_route(GString *text, int32_t index)
 {
-	g_autofree char *prefix = soak_platform_route(index);
+	g_autofree char *prefix = soak_platform_route_prefix(index);
 
 	g_string_append_printf(
 		text,
@@ -100,7 +100,7 @@
  * its own, keeps the route that configuration index - 1 added and removes the
  * one that index - 2 added.
  */
-char *soak_platform_document(int32_t index)
+char *soak_platform_configuration(int32_t index)
 {
 	GString *text = g_string_new(NULL);
 
--- a/tests/soak/soak_platform.h
+++ b/tests/soak/soak_platform.h
@@ -15,12 +15,12 @@
 		       struct error *error);
 bool soak_platform_delete(const char *store, const char *key,
 			  struct error *error);
-bool soak_platform_mode(const char *address, const char *json,
-			struct error *error);
+bool soak_platform_set_mode(const char *address, const char *json,
+			    struct error *error);
 char *soak_platform_entry(const char *service, const char *address,
 			  bool is_leaving, int64_t born_ms);
-char *soak_platform_document(int32_t index);
-char *soak_platform_route(int32_t index);
+char *soak_platform_configuration(int32_t index);
+char *soak_platform_route_prefix(int32_t index);
 
 G_END_DECLS
 
--- a/tests/soak/soak_proxy.c
+++ b/tests/soak/soak_proxy.c
@@ -138,8 +138,8 @@
 			g_ptr_array_remove_index_fast(proxy->connections, 0));
 }
 
-/* Sets the fault of the link, or SOAK_LINK_SOUND for none. */
-void soak_proxy_set(struct soak_proxy *proxy, const struct soak_link *link)
+/* Sets the fault of the link, or SOAK_LINK_NORMAL for none. */
+void soak_proxy_set_link(struct soak_proxy *proxy, const struct soak_link *link)
 {
 	proxy->link = *link;
 	if (link->kind == SOAK_LINK_RESET)
--- a/tests/soak/soak_proxy.h
+++ b/tests/soak/soak_proxy.h
@@ -20,7 +20,8 @@
 const char *soak_proxy_address(const struct soak_proxy *proxy);
 const char *soak_proxy_source(const struct soak_proxy *proxy);
 void soak_proxy_set_target(struct soak_proxy *proxy, const char *target);
-void soak_proxy_set(struct soak_proxy *proxy, const struct soak_link *link);
+void soak_proxy_set_link(struct soak_proxy *proxy,
+			 const struct soak_link *link);
 
 G_END_DECLS
 
--- a/tests/soak/soak_report.c
+++ b/tests/soak/soak_report.c
@@ -108,9 +108,9 @@
 {
 	int64_t offset_us = evidence->unix_offset_us;
 
-	for (guint i = 0; i < evidence->disruptions->len; i++) {
-		const struct soak_disruption *row = &g_array_index(
-			evidence->disruptions, struct soak_disruption, i);
+	for (guint i = 0; i < evidence->fault_records->len; i++) {
+		const struct soak_fault_record *row = &g_array_index(
+			evidence->fault_records, struct soak_fault_record, i);
 		const char *name = soak_fault_type_at(row->kind)->name;
 
 		add_line(lines, row->from_us + offset_us,
@@ -216,11 +216,11 @@
 		if (attempt->kind != kind)
 			continue;
 		tally.sent++;
-		if (attempt->end == SOAK_END_WHOLE && status == 200)
+		if (attempt->end == SOAK_END_COMPLETE && status == 200)
 			tally.served++;
 		else if (status == 503 || status == 429)
 			tally.refused++;
-		else if (attempt->end != SOAK_END_LEFT)
+		else if (attempt->end != SOAK_END_STOPPED)
 			tally.failed++;
 	}
 	return tally;
@@ -246,7 +246,7 @@
 	}
 	printf(" %u finds\n", finds->len);
 	for (guint i = 0; i < finds->len; i++) {
-		const struct soak_find *find = g_ptr_array_index(finds, i);
+		const struct soak_finding *find = g_ptr_array_index(finds, i);
 
 		printf("FIND seed %u: %s%s%s at %.3f s\n", schedule->seed,
 		       find->symptom, find->request ? ", request " : "",
--- a/tests/soak/soak_run.c
+++ b/tests/soak/soak_run.c
@@ -33,14 +33,14 @@
 
 		if (!run->has_begun[i] && elapsed_us >= fault->at_ms * MS_US) {
 			run->has_begun[i] = true;
-			soak_fleet_begin(run->fleet, fault);
+			soak_fleet_begin_fault(run->fleet, fault);
 			if (fault->kind == SOAK_POISON)
 				soak_callers_send_poison(run->callers);
 		}
 		if (run->has_begun[i] && !run->has_ended[i] &&
 		    elapsed_us >= (fault->at_ms + fault->duration_ms) * MS_US) {
 			run->has_ended[i] = true;
-			soak_fleet_end(run->fleet, fault);
+			soak_fleet_end_fault(run->fleet, fault);
 		}
 	}
 }
@@ -97,7 +97,7 @@
 {
 	int64_t until_us = g_get_monotonic_time() + HEALTHY_US;
 
-	while (!*run->interrupted && !soak_fleet_is_whole(run->fleet) &&
+	while (!*run->interrupted && !soak_fleet_is_healthy(run->fleet) &&
 	       g_get_monotonic_time() < until_us) {
 		soak_fleet_tick(run->fleet);
 		soak_fleet_wait(TICK_US);
@@ -136,7 +136,7 @@
 		error_set(error, ERROR_TIMEOUT, STEP_RUN, NULL,
 			  "the nodes did not serve within 10 s of their start");
 	}
-	soak_view_end(run->view);
+	soak_view_end_probes(run->view);
 	while (!soak_callers_have_ended(run->callers))
 		soak_fleet_wait(TICK_US);
 	soak_callers_finish(run->callers, run->evidence);
--- a/tests/soak/soak_schedule.c
+++ b/tests/soak/soak_schedule.c
@@ -332,14 +332,14 @@
 }
 
 /* Removes all faults; such a run must have no findings. */
-void soak_schedule_keep_none(struct soak_schedule *schedule)
+void soak_schedule_remove_faults(struct soak_schedule *schedule)
 {
 	g_array_set_size(schedule->faults, 0);
 }
 
 /* Replaces the faults by as many series, all of the given kinds. */
-void soak_schedule_keep_kinds(struct soak_schedule *schedule,
-			      const GArray *kinds)
+void soak_schedule_set_kinds(struct soak_schedule *schedule,
+			     const GArray *kinds)
 {
 	GRand *random = g_rand_new_with_seed(schedule->seed);
 
