--- a/tests/soak/soak_schedule.h
+++ b/tests/soak/soak_schedule.h
@@ -81,7 +81,7 @@
 	int64_t min_duration_ms; /* range of the duration */
 	int64_t max_duration_ms;
 	bool is_planned; /* planned work; must not affect callers */
-	const char *says;
+	const char *description;
 	bool is_link;	  /* affects connections to the target */
 	bool is_to_store; /* or from the target to the store */
 };
@@ -117,9 +117,9 @@
 struct soak_schedule *soak_schedule_create(uint32_t seed,
 					   const struct soak_sizes *sizes);
 void soak_schedule_destroy(struct soak_schedule *schedule);
-void soak_schedule_keep_none(struct soak_schedule *schedule);
-void soak_schedule_keep_kinds(struct soak_schedule *schedule,
-			      const GArray *kinds);
+void soak_schedule_remove_faults(struct soak_schedule *schedule);
+void soak_schedule_set_kinds(struct soak_schedule *schedule,
+			     const GArray *kinds);
 bool soak_schedule_has_links(const struct soak_schedule *schedule,
 			     enum soak_target target, bool to_store);
 char *soak_schedule_print(const struct soak_schedule *schedule);
--- a/tests/soak/soak_socket.c
+++ b/tests/soak/soak_socket.c
@@ -27,7 +27,7 @@
  * Makes the socket non-blocking and sets TCP_NODELAY, so that the single bytes
  * of a trickle are sent at once.
  */
-void soak_socket_hurry(GSocket *socket)
+void soak_socket_configure(GSocket *socket)
 {
 	g_socket_set_blocking(socket, FALSE);
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
--- a/tests/soak/soak_view.c
+++ b/tests/soak/soak_view.c
@@ -75,7 +75,7 @@
  * Returns the address to connect to in order to reach a front: that of a proxy
  * if there is one, else the front. The caller frees it.
  */
-char *soak_view_way_to(struct soak_view *view, const char *front)
+char *soak_view_connect_address(struct soak_view *view, const char *front)
 {
 	char *connect_address = NULL;
 
@@ -155,20 +155,20 @@
 }
 
 /* Ends the load and the probes. */
-void soak_view_end(struct soak_view *view)
+void soak_view_end_probes(struct soak_view *view)
 {
 	view_set(view, &view->has_load, false);
 	view_set(view, &view->has_probes, false);
 }
 
 /* Returns whether probes continue. */
-bool soak_view_goes_on(struct soak_view *view)
+bool soak_view_has_probes(struct soak_view *view)
 {
 	return view_get(view, &view->has_probes);
 }
 
 /* Records that a node has just answered a probe with 200. */
-void soak_view_note_served(struct soak_view *view, int32_t node)
+void soak_view_record_served(struct soak_view *view, int32_t node)
 {
 	g_mutex_lock(&view->lock);
 	view->nodes[node].served_us = g_get_monotonic_time();
--- a/tests/soak_proxy_test.cc
+++ b/tests/soak_proxy_test.cc
@@ -31,7 +31,7 @@
 	{
 		struct soak_link link = {kind, delay_us};
 
-		soak_proxy_set(proxy, &link);
+		soak_proxy_set_link(proxy, &link);
 	}
 
 	void connect()
@@ -175,7 +175,7 @@
 	sent_us = g_get_monotonic_time();
 	client->send("slow.");
 	run_until([&] { return g_get_monotonic_time() > sent_us + SOON_US; });
-	set(SOAK_LINK_SOUND);
+	set(SOAK_LINK_NORMAL);
 	client->send("fast.");
 	EXPECT_TRUE(target->wait_for("slow.fast."));
 	EXPECT_GE(g_get_monotonic_time(), sent_us + 20 * SOON_US);
@@ -190,7 +190,7 @@
 	EXPECT_TRUE(target->wait_closed());
 	client.reset(Connection::open(soak_proxy_address(proxy)));
 	EXPECT_TRUE(client->wait_closed());
-	set(SOAK_LINK_SOUND);
+	set(SOAK_LINK_NORMAL);
 	connect();
 	talk();
 }
@@ -206,7 +206,7 @@
 	EXPECT_TRUE(client->wait_for("back"));
 	client->close();
 	expect_nothing(*target, "ping");
-	set(SOAK_LINK_SOUND);
+	set(SOAK_LINK_NORMAL);
 	EXPECT_TRUE(target->wait_for("held"));
 	EXPECT_TRUE(target->wait_closed());
 }
@@ -234,7 +234,7 @@
 	EXPECT_EQ(0, g_socket_condition_check(
 			     socket, (GIOCondition)(G_IO_OUT | G_IO_HUP)));
 	EXPECT_EQ(nullptr, g_socket_accept(listener.socket, nullptr, nullptr));
-	set(SOAK_LINK_SOUND);
+	set(SOAK_LINK_NORMAL);
 	EXPECT_TRUE(run_until([&] {
 		return g_socket_condition_check(socket, G_IO_OUT) != 0;
 	}));
@@ -251,9 +251,9 @@
 		set(SOAK_LINK_CUT_FORWARD);
 		set(i % 2 ? SOAK_LINK_CUT_BOTH : SOAK_LINK_CUT_FORWARD);
 		run_idle();
-		set(SOAK_LINK_SOUND);
+		set(SOAK_LINK_NORMAL);
 		set(SOAK_LINK_CUT_FORWARD);
-		set(SOAK_LINK_SOUND);
+		set(SOAK_LINK_NORMAL);
 		connect();
 		talk();
 	}
@@ -266,14 +266,14 @@
 {
 	connect();
 	talk();
-	set(SOAK_LINK_CUT_BACK);
+	set(SOAK_LINK_CUT_BACKWARD);
 	g_socket_shutdown(client->socket, FALSE, TRUE, nullptr);
 	EXPECT_TRUE(target->wait_closed());
 	target->send("held");
 	target->close();
 	run_idle();
 	EXPECT_FALSE(g_main_context_pending(nullptr));
-	set(SOAK_LINK_SOUND);
+	set(SOAK_LINK_NORMAL);
 	EXPECT_TRUE(client->wait_for("held"));
 	EXPECT_TRUE(client->wait_closed());
 }
@@ -282,13 +282,13 @@
 {
 	connect();
 	talk();
-	set(SOAK_LINK_CUT_BACK);
+	set(SOAK_LINK_CUT_BACKWARD);
 	client->send("there");
 	EXPECT_TRUE(target->wait_for("there"));
 	target->send("held");
 	target->reset();
 	expect_nothing(*client, "pong");
-	set(SOAK_LINK_SOUND);
+	set(SOAK_LINK_NORMAL);
 	EXPECT_TRUE(client->wait_closed());
 }
 
@@ -301,7 +301,7 @@
 	target->send("back");
 	expect_nothing(*client, "pong");
 	expect_nothing(*target, "ping");
-	set(SOAK_LINK_SOUND);
+	set(SOAK_LINK_NORMAL);
 	EXPECT_TRUE(target->wait_for("there"));
 	EXPECT_TRUE(client->wait_for("back"));
 }
@@ -310,12 +310,12 @@
 {
 	connect();
 	talk();
-	set(SOAK_LINK_HOLD);
+	set(SOAK_LINK_HOLD_ANSWERS);
 	client->send("there");
 	EXPECT_TRUE(target->wait_for("there"));
 	target->send("late");
 	expect_nothing(*client, "pong");
-	set(SOAK_LINK_SOUND);
+	set(SOAK_LINK_NORMAL);
 	EXPECT_TRUE(client->wait_for("late"));
 }
 
@@ -335,7 +335,7 @@
 	old_target = std::move(target);
 	connect();
 	talk();
-	set(SOAK_LINK_SOUND);
+	set(SOAK_LINK_NORMAL);
 	old_client->send("lost");
 	old_target->close();
 	expect_nothing(*old_client, "pong");
@@ -363,7 +363,7 @@
 TEST_F(SoakProxy, AddsAnUnsolicitedAnswer)
 {
 	connect();
-	set(SOAK_LINK_EXTRA, SOON_US);
+	set(SOAK_LINK_UNSOLICITED, SOON_US);
 	talk();
 	EXPECT_TRUE(client->wait_for("stray"));
 	EXPECT_EQ(0u, client->input.find("pongHTTP/1.1 200 OK\r\n"));
--- a/tests/standing_pace_test.cc
+++ b/tests/standing_pace_test.cc
@@ -7,28 +7,28 @@
 /* Returns the records sent in this time, with a change at each tick or none. */
 static size_t records(size_t others, int64_t seconds, bool changed)
 {
-	struct standing_pace pace;
+	struct announce_pace pace;
 	size_t sent = 0;
 
-	standing_pace_init(&pace, 0);
+	announce_pace_init(&pace, 0);
 	for (int64_t now = 0; now < seconds * G_USEC_PER_SEC; now += kTickUs) {
-		if (standing_pace_is_due(&pace, others, changed, now))
+		if (announce_pace_is_due(&pace, others, changed, now))
 			sent += others;
 	}
 	return sent;
 }
 
 /* Few nodes get each change within 65 ms, and else four rounds a second. */
-TEST(StandingPace, InformsFewNodesSoon)
+TEST(AnnouncePace, InformsFewNodesSoon)
 {
-	struct standing_pace pace;
+	struct announce_pace pace;
 
 	EXPECT_LE(4 * 6 * 10u, records(6, 10, false));
-	standing_pace_init(&pace, 0);
-	EXPECT_TRUE(standing_pace_is_due(&pace, 6, false, 0));
-	EXPECT_FALSE(standing_pace_is_due(&pace, 6, true, kTickUs));
-	EXPECT_FALSE(standing_pace_is_due(&pace, 6, false, 2 * kTickUs));
-	EXPECT_TRUE(standing_pace_is_due(&pace, 6, false, 3 * kTickUs));
+	announce_pace_init(&pace, 0);
+	EXPECT_TRUE(announce_pace_is_due(&pace, 6, false, 0));
+	EXPECT_FALSE(announce_pace_is_due(&pace, 6, true, kTickUs));
+	EXPECT_FALSE(announce_pace_is_due(&pace, 6, false, 2 * kTickUs));
+	EXPECT_TRUE(announce_pace_is_due(&pace, 6, false, 3 * kTickUs));
 }
 
 /*
@@ -37,7 +37,7 @@
  * spent their processors on it, forwarded the output of engines late, and did
  * not recover.
  */
-TEST(StandingPace, BoundsRecordsWhateverChanges)
+TEST(AnnouncePace, BoundsRecordsWhateverChanges)
 {
 	for (size_t others : {6, 24, 87, 299, 479})
 		EXPECT_GE(150 * 10 + 150 + others, records(others, 10, true))
@@ -45,13 +45,13 @@
 }
 
 /* Every node gets a round within a period, however many nodes there are. */
-TEST(StandingPace, SendsARoundInEachPeriod)
+TEST(AnnouncePace, SendsARoundInEachPeriod)
 {
 	for (size_t others : {6, 87, 299, 479}) {
 		int64_t seconds = 30;
 		size_t rounds = records(others, seconds, false) / others;
 		int64_t periods = seconds * G_USEC_PER_SEC /
-				  (standing_pace_period_us(others) + kTickUs);
+				  (announce_pace_period_us(others) + kTickUs);
 
 		EXPECT_LE((size_t)periods, rounds) << others;
 	}
--- a/tests/store_doubt_test.cc
+++ b/tests/store_doubt_test.cc
@@ -15,11 +15,12 @@
 {
 	struct store_doubt doubt = {};
 
-	store_doubt_away(&doubt, 10 * SECOND);
-	store_doubt_reached(&doubt, 10 * SECOND);
-	EXPECT_TRUE(store_doubt_stands(&doubt, 11 * SECOND));
-	EXPECT_FALSE(store_doubt_stands(&doubt, 12 * SECOND));
-	EXPECT_LE(12 * SECOND, store_doubt_over_before_us(&doubt, 12 * SECOND));
+	store_doubt_store_lost(&doubt, 10 * SECOND);
+	store_doubt_store_reached(&doubt, 10 * SECOND);
+	EXPECT_TRUE(store_doubt_is_active(&doubt, 11 * SECOND));
+	EXPECT_FALSE(store_doubt_is_active(&doubt, 12 * SECOND));
+	EXPECT_LE(12 * SECOND,
+		  store_doubt_ended_before_us(&doubt, 12 * SECOND));
 }
 
 /*
@@ -30,12 +31,12 @@
 {
 	struct store_doubt doubt = {};
 
-	store_doubt_reached(&doubt, 0);
-	store_doubt_away(&doubt, 60 * SECOND);
-	store_doubt_reached(&doubt, 64 * SECOND);
-	EXPECT_TRUE(store_doubt_stands(&doubt, 66 * SECOND));
-	EXPECT_EQ(INT64_MIN, store_doubt_over_before_us(&doubt, 66 * SECOND));
-	EXPECT_FALSE(store_doubt_stands(&doubt, 66 * SECOND + SECOND / 2));
+	store_doubt_store_reached(&doubt, 0);
+	store_doubt_store_lost(&doubt, 60 * SECOND);
+	store_doubt_store_reached(&doubt, 64 * SECOND);
+	EXPECT_TRUE(store_doubt_is_active(&doubt, 66 * SECOND));
+	EXPECT_EQ(INT64_MIN, store_doubt_ended_before_us(&doubt, 66 * SECOND));
+	EXPECT_FALSE(store_doubt_is_active(&doubt, 66 * SECOND + SECOND / 2));
 }
 
 /*
@@ -47,11 +48,11 @@
 	struct store_doubt doubt = {};
 	const int64_t left_us = 66 * SECOND + 400000;
 
-	store_doubt_reached(&doubt, 0);
-	store_doubt_reached(&doubt, 64 * SECOND);
-	EXPECT_TRUE(store_doubt_stands(&doubt, left_us));
+	store_doubt_store_reached(&doubt, 0);
+	store_doubt_store_reached(&doubt, 64 * SECOND);
+	EXPECT_TRUE(store_doubt_is_active(&doubt, left_us));
 	EXPECT_LE(left_us,
-		  store_doubt_over_before_us(&doubt, left_us + SECOND / 10));
+		  store_doubt_ended_before_us(&doubt, left_us + SECOND / 10));
 }
 
 /*
@@ -63,10 +64,10 @@
 	struct store_doubt doubt = {};
 	const int64_t vanished_us = 100 * SECOND;
 
-	store_doubt_reached(&doubt, 0);
-	EXPECT_GT(vanished_us,
-		  store_doubt_over_before_us(&doubt, vanished_us + 2 * SECOND));
-	EXPECT_LE(vanished_us, store_doubt_over_before_us(
+	store_doubt_store_reached(&doubt, 0);
+	EXPECT_GT(vanished_us, store_doubt_ended_before_us(
+				       &doubt, vanished_us + 2 * SECOND));
+	EXPECT_LE(vanished_us, store_doubt_ended_before_us(
 				       &doubt, vanished_us + 5 * SECOND / 2));
 }
 
@@ -79,8 +80,8 @@
 	struct store_view view = {};
 
 	view.reaches_store = true;
-	view.sentinel_waits = true;
-	view.sentinel_reaches = other_reaches;
+	view.sentinel_lost_store = true;
+	view.sentinel_reaches_store = other_reaches;
 	return view;
 }
 
@@ -92,14 +93,14 @@
 	struct store_view view = CutSentinel(false);
 	struct store_doubt doubt = {};
 
-	store_doubt_reached(&doubt, 0);
+	store_doubt_store_reached(&doubt, 0);
 	for (int64_t s = 10; s < 20; s++) {
-		store_doubt_answered(&doubt, s * SECOND);
-		store_doubt_take(&doubt, &view, s * SECOND + SECOND / 2);
-		EXPECT_FALSE(store_doubt_is_away(&doubt, &view,
-						 s * SECOND + SECOND / 2));
+		store_doubt_store_answered(&doubt, s * SECOND);
+		store_doubt_update(&doubt, &view, s * SECOND + SECOND / 2);
+		EXPECT_FALSE(store_doubt_suspects_outage(
+			&doubt, &view, s * SECOND + SECOND / 2));
 		EXPECT_FALSE(
-			store_doubt_stands(&doubt, s * SECOND + SECOND / 2));
+			store_doubt_is_active(&doubt, s * SECOND + SECOND / 2));
 	}
 }
 
@@ -112,14 +113,14 @@
 	struct store_view view = CutSentinel(false);
 	struct store_doubt doubt = {};
 
-	store_doubt_reached(&doubt, 0);
-	store_doubt_answered(&doubt, 10 * SECOND);
-	store_doubt_take(&doubt, &view, 14 * SECOND);
-	EXPECT_TRUE(store_doubt_is_away(&doubt, &view, 14 * SECOND));
-	store_doubt_answered(&doubt, 14 * SECOND);
-	store_doubt_take(&doubt, &view, 14 * SECOND + 1);
-	EXPECT_TRUE(store_doubt_stands(&doubt, 15 * SECOND));
-	EXPECT_FALSE(store_doubt_stands(&doubt, 16 * SECOND));
+	store_doubt_store_reached(&doubt, 0);
+	store_doubt_store_answered(&doubt, 10 * SECOND);
+	store_doubt_update(&doubt, &view, 14 * SECOND);
+	EXPECT_TRUE(store_doubt_suspects_outage(&doubt, &view, 14 * SECOND));
+	store_doubt_store_answered(&doubt, 14 * SECOND);
+	store_doubt_update(&doubt, &view, 14 * SECOND + 1);
+	EXPECT_TRUE(store_doubt_is_active(&doubt, 15 * SECOND));
+	EXPECT_FALSE(store_doubt_is_active(&doubt, 16 * SECOND));
 }
 
 /* One of the two sentinels reaches the store: nodes need not ask engines. */
@@ -128,7 +129,7 @@
 	struct store_view view = CutSentinel(true);
 	struct store_doubt doubt = {};
 
-	EXPECT_FALSE(store_doubt_is_away(&doubt, &view, 14 * SECOND));
+	EXPECT_FALSE(store_doubt_suspects_outage(&doubt, &view, 14 * SECOND));
 	view.reaches_store = false;
-	EXPECT_TRUE(store_doubt_is_away(&doubt, &view, 14 * SECOND));
+	EXPECT_TRUE(store_doubt_suspects_outage(&doubt, &view, 14 * SECOND));
 }
--- a/tests/store_follower_test.cc
+++ b/tests/store_follower_test.cc
@@ -216,7 +216,7 @@
 	struct store_follower *probing =
 		store_follower_create(&options, &events);
 
-	store_follower_watch_closely(probing, true);
+	store_follower_set_probing(probing, true);
 	EXPECT_TRUE(run_until([&] { return probing_is_reached; }));
 	mode("{\"silent\": true}");
 	EXPECT_TRUE(run_until([&] { return !probing_is_reached; }));
@@ -241,7 +241,7 @@
 	is_reached = false;
 	follower = store_follower_create(&options, &events);
 	ASSERT_TRUE(run_until([&] { return is_reached; }));
-	store_follower_set_patient(follower, true);
+	store_follower_set_slow_retry(follower, true);
 	mode("{\"down\": true}");
 	EXPECT_TRUE(run_until([&] { return !is_reached; }));
 	EXPECT_TRUE(run_until(
@@ -249,7 +249,7 @@
 	mode("{\"down\": false}");
 	settle();
 	EXPECT_FALSE(is_reached);
-	store_follower_set_patient(follower, false);
+	store_follower_set_slow_retry(follower, false);
 	EXPECT_TRUE(run_until([&] { return is_reached; }));
 }
 
@@ -298,7 +298,7 @@
 
 	ASSERT_TRUE(run_until([&] { return slow.connections == 1; }));
 	run_idle();
-	store_follower_poke(other);
+	store_follower_refresh(other);
 	run_idle();
 	EXPECT_EQ(1, slow.connections);
 	slow.finish();
--- a/tests/store_watch_test.cc
+++ b/tests/store_watch_test.cc
@@ -11,7 +11,7 @@
 
 	input.is_sentinel = is_sentinel;
 	input.reaches_store = true;
-	input.sentinel_reaches = true;
+	input.sentinel_reaches_store = true;
 	input.knows_endpoints = true;
 	return input;
 }
@@ -27,7 +27,7 @@
 	EXPECT_TRUE(store_watch_decide(&one).closely);
 	EXPECT_FALSE(store_watch_decide(&other).entries);
 	EXPECT_FALSE(store_watch_decide(&other).closely);
-	EXPECT_FALSE(store_watch_decide(&other).patiently);
+	EXPECT_FALSE(store_watch_decide(&other).retries_seldom);
 }
 
 /*
@@ -41,14 +41,14 @@
 	struct store_watch_input one = Node(true), other = Node(false);
 
 	one.reaches_store = false;
-	one.sentinel_reaches = false;
-	one.sentinel_waits = true;
+	one.sentinel_reaches_store = false;
+	one.sentinel_lost_store = true;
 	other.reaches_store = false;
-	other.sentinel_reaches = false;
-	other.sentinel_waits = true;
-	EXPECT_FALSE(store_watch_decide(&one).patiently);
+	other.sentinel_reaches_store = false;
+	other.sentinel_lost_store = true;
+	EXPECT_FALSE(store_watch_decide(&one).retries_seldom);
 	EXPECT_TRUE(store_watch_decide(&one).entries);
-	EXPECT_TRUE(store_watch_decide(&other).patiently);
+	EXPECT_TRUE(store_watch_decide(&other).retries_seldom);
 	EXPECT_FALSE(store_watch_decide(&other).entries);
 }
 
@@ -58,7 +58,7 @@
 	struct store_watch_input input = Node(false);
 
 	input.reaches_store = false;
-	EXPECT_FALSE(store_watch_decide(&input).patiently);
+	EXPECT_FALSE(store_watch_decide(&input).retries_seldom);
 }
 
 /* The sentinels are cut off and this node is not: it follows the entries. */
@@ -66,11 +66,11 @@
 {
 	struct store_watch_input input = Node(false);
 
-	input.sentinel_reaches = false;
-	input.sentinel_waits = true;
+	input.sentinel_reaches_store = false;
+	input.sentinel_lost_store = true;
 	EXPECT_TRUE(store_watch_decide(&input).entries);
 	EXPECT_TRUE(store_watch_decide(&input).closely);
-	EXPECT_FALSE(store_watch_decide(&input).patiently);
+	EXPECT_FALSE(store_watch_decide(&input).retries_seldom);
 }
 
 /* After a start, or cut off from all nodes: no sentinel informs this node. */
@@ -79,9 +79,9 @@
 	struct store_watch_input input = Node(false);
 
 	input.reaches_store = false;
-	input.sentinel_reaches = false;
+	input.sentinel_reaches_store = false;
 	EXPECT_TRUE(store_watch_decide(&input).entries);
-	EXPECT_FALSE(store_watch_decide(&input).patiently);
+	EXPECT_FALSE(store_watch_decide(&input).retries_seldom);
 	input = Node(false);
 	input.knows_endpoints = false;
 	EXPECT_TRUE(store_watch_decide(&input).entries);
--- a/tests/table_fetch_test.cc
+++ b/tests/table_fetch_test.cc
@@ -81,12 +81,13 @@
 /* Returns how many of 87 nodes that ask within 0.1 s get a copy. */
 int Copies(size_t bytes)
 {
-	struct table_offer limit = {};
+	struct table_copy_limit limit = {};
 	int copies = 0;
 
 	for (int i = 0; i < 87; i++)
-		copies += table_offer_take(&limit, bytes, 10000 * MS + i * MS);
-	EXPECT_TRUE(table_offer_take(&limit, bytes, 11000 * MS));
+		copies += table_copy_limit_take(&limit, bytes,
+						10000 * MS + i * MS);
+	EXPECT_TRUE(table_copy_limit_take(&limit, bytes, 11000 * MS));
 	return copies;
 }
 
