--- a/adapters/gateway/gateway_peers.c
+++ b/adapters/gateway/gateway_peers.c
@@ -1,5 +1,5 @@
 #include "adapters/gateway/gateway_state.h"
-#include "core/gateway/newcomer.h"
+#include "core/gateway/join_sync.h"
 
 #include <string.h>
 
--- a/adapters/gateway/gateway_state.h
+++ b/adapters/gateway/gateway_state.h
@@ -6,7 +6,7 @@
 #include "adapters/gateway/gateway.h"
 #include "adapters/gateway/report_poll.h"
 #include "core/gateway/engine_grants.h"
-#include "core/gateway/standing_pace.h"
+#include "core/gateway/announce_pace.h"
 #include "core/gateway/store_doubt.h"
 #include "core/gateway/table_fetch.h"
 #include "core/limit/quarantine.h"
--- a/bench/telling.c
+++ b/bench/announce_sim.c
@@ -1,6 +1,6 @@
-#include "bench/telling.h"
+#include "bench/announce_sim.h"
 
-#include "core/gateway/standing_pace.h"
+#include "core/gateway/announce_pace.h"
 #include "core/gateway/table_fetch.h"
 
 #include <string.h>
--- a/bench/telling.h
+++ b/bench/announce_sim.h
@@ -1,5 +1,5 @@
-#ifndef BENCH_TELLING_H
-#define BENCH_TELLING_H
+#ifndef BENCH_ANNOUNCE_SIM_H
+#define BENCH_ANNOUNCE_SIM_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/bench/telling_bench.c
+++ b/bench/telling_bench.c
@@ -1,4 +1,4 @@
-#include "bench/telling.h"
+#include "bench/announce_sim.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/codec/peer_codec.c
+++ b/codec/peer_codec.c
@@ -1,7 +1,7 @@
 #include "codec/peer_codec.h"
 
 #include "codec/peer_field.h"
-#include "codec/peer_holdings.h"
+#include "codec/peer_progress.h"
 #include "codec/peer_choose.h"
 #include "codec/peer_standing.h"
 
--- a/codec/peer_holdings.c
+++ b/codec/peer_progress.c
@@ -1,4 +1,4 @@
-#include "codec/peer_holdings.h"
+#include "codec/peer_progress.h"
 
 #include "codec/peer_field.h"
 
--- a/codec/peer_holdings.h
+++ b/codec/peer_progress.h
@@ -1,5 +1,5 @@
-#ifndef CODEC_PEER_HOLDINGS_H
-#define CODEC_PEER_HOLDINGS_H
+#ifndef CODEC_PEER_PROGRESS_H
+#define CODEC_PEER_PROGRESS_H
 
 #include "ports/peer_message.h"
 
--- a/core/gateway/standing_pace.c
+++ b/core/gateway/announce_pace.c
@@ -1,4 +1,4 @@
-#include "core/gateway/standing_pace.h"
+#include "core/gateway/announce_pace.h"
 
 /* All nodes know of a placement before the next one is likely to come. */
 #define ROUND_INTERVAL_US (250 * 1000)
--- a/core/gateway/standing_pace.h
+++ b/core/gateway/announce_pace.h
@@ -1,5 +1,5 @@
-#ifndef CORE_GATEWAY_STANDING_PACE_H
-#define CORE_GATEWAY_STANDING_PACE_H
+#ifndef CORE_GATEWAY_ANNOUNCE_PACE_H
+#define CORE_GATEWAY_ANNOUNCE_PACE_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/core/gateway/endpoint_word.c
+++ b/core/gateway/endpoint_suspicion.c
@@ -1,4 +1,4 @@
-#include "core/gateway/endpoint_word.h"
+#include "core/gateway/endpoint_suspicion.h"
 
 /* Notices further apart than this are taken for unrelated failures. */
 #define AGREEMENT_WINDOW_US (2 * G_USEC_PER_SEC)
--- a/core/gateway/endpoint_word.h
+++ b/core/gateway/endpoint_suspicion.h
@@ -1,5 +1,5 @@
-#ifndef CORE_GATEWAY_ENDPOINT_WORD_H
-#define CORE_GATEWAY_ENDPOINT_WORD_H
+#ifndef CORE_GATEWAY_ENDPOINT_SUSPICION_H
+#define CORE_GATEWAY_ENDPOINT_SUSPICION_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/core/gateway/newcomer.c
+++ b/core/gateway/join_sync.c
@@ -1,4 +1,4 @@
-#include "core/gateway/newcomer.h"
+#include "core/gateway/join_sync.h"
 
 /* Mean number of senders. In one start of 400 no node sends the list. */
 #define MEAN_SENDERS 6.0
--- a/core/gateway/newcomer.h
+++ b/core/gateway/join_sync.h
@@ -1,5 +1,5 @@
-#ifndef CORE_GATEWAY_NEWCOMER_H
-#define CORE_GATEWAY_NEWCOMER_H
+#ifndef CORE_GATEWAY_JOIN_SYNC_H
+#define CORE_GATEWAY_JOIN_SYNC_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/core/gateway/registry.h
+++ b/core/gateway/registry.h
@@ -1,7 +1,7 @@
 #ifndef CORE_GATEWAY_REGISTRY_H
 #define CORE_GATEWAY_REGISTRY_H
 
-#include "core/gateway/endpoint_word.h"
+#include "core/gateway/endpoint_suspicion.h"
 #include "core/placement/endpoint_health.h"
 #include "ports/registration.h"
 
--- a/core/membership/membership_state.h
+++ b/core/membership/membership_state.h
@@ -14,7 +14,7 @@
  * The state that the parts of the membership share. membership.c: creation,
  * timing and the public queries. membership_probe.c: probes and suspicions.
  * membership_gossip.c: outgoing messages and the records they carry.
- * membership_hear.c: merging of records that were received.
+ * membership_merge.c: merging of records that were received.
  * membership_receive.c: validation and handling of incoming messages.
  */
 
@@ -115,7 +115,7 @@
 void membership_join(struct membership *membership);
 void membership_rejoin(struct membership *membership);
 
-/* membership_hear.c */
+/* membership_merge.c */
 struct peer *membership_update_sender(struct membership *membership,
 				      const struct peer_message *message,
 				      bool *replaced);
--- a/tests/standing_pace_test.cc
+++ b/tests/announce_pace_test.cc
@@ -1,4 +1,4 @@
-#include "core/gateway/standing_pace.h"
+#include "core/gateway/announce_pace.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/endpoint_word_test.cc
+++ b/tests/endpoint_suspicion_test.cc
@@ -1,4 +1,4 @@
-#include "core/gateway/endpoint_word.h"
+#include "core/gateway/endpoint_suspicion.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/newcomer_test.cc
+++ b/tests/join_sync_test.cc
@@ -1,4 +1,4 @@
-#include "core/gateway/newcomer.h"
+#include "core/gateway/join_sync.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/soak/soak_judge.c
+++ b/tests/soak/soak_check.c
@@ -1,5 +1,5 @@
-#include "tests/soak/soak_judge.h"
-#include "tests/soak/soak_judge_state.h"
+#include "tests/soak/soak_check.h"
+#include "tests/soak/soak_check_state.h"
 
 #include <string.h>
 
--- a/tests/soak/soak_judge.h
+++ b/tests/soak/soak_check.h
@@ -1,5 +1,5 @@
-#ifndef TESTS_SOAK_SOAK_JUDGE_H
-#define TESTS_SOAK_SOAK_JUDGE_H
+#ifndef TESTS_SOAK_SOAK_CHECK_H
+#define TESTS_SOAK_SOAK_CHECK_H
 
 #include "tests/soak/soak_evidence.h"
 #include "tests/soak/soak_schedule.h"
--- a/tests/soak/soak_judge_state.h
+++ b/tests/soak/soak_check_state.h
@@ -1,7 +1,7 @@
-#ifndef TESTS_SOAK_SOAK_JUDGE_STATE_H
-#define TESTS_SOAK_SOAK_JUDGE_STATE_H
+#ifndef TESTS_SOAK_SOAK_CHECK_STATE_H
+#define TESTS_SOAK_SOAK_CHECK_STATE_H
 
-#include "tests/soak/soak_judge.h"
+#include "tests/soak/soak_check.h"
 
 #include <stdbool.h>
 
@@ -41,14 +41,14 @@
 					       const char *engine,
 					       int64_t at_us);
 
-/* soak_judge_requests.c */
+/* soak_check_requests.c */
 void soak_check_runs(struct soak_check *check);
 void soak_check_overlaps(struct soak_check *check);
 void soak_check_refusals(struct soak_check *check);
 void soak_check_answers(struct soak_check *check);
 void soak_check_streams(struct soak_check *check);
 
-/* soak_judge_times.c */
+/* soak_check_times.c */
 void soak_check_leaving(struct soak_check *check);
 void soak_check_stops(struct soak_check *check);
 void soak_check_timeouts(struct soak_check *check);
@@ -56,7 +56,7 @@
 void soak_check_poison(struct soak_check *check);
 void soak_check_resources(struct soak_check *check);
 
-/* soak_judge_config.c */
+/* soak_check_config.c */
 void soak_check_config_in_force(struct soak_check *check);
 void soak_check_config_monotonic(struct soak_check *check);
 
--- a/tests/soak/soak_judge_times.c
+++ b/tests/soak/soak_check_times.c
@@ -1,4 +1,4 @@
-#include "tests/soak/soak_judge_state.h"
+#include "tests/soak/soak_check_state.h"
 
 #include <inttypes.h>
 #include <string.h>
--- a/tests/soak/soak_main.c
+++ b/tests/soak/soak_main.c
@@ -1,4 +1,4 @@
-#include "tests/soak/soak_judge.h"
+#include "tests/soak/soak_check.h"
 #include "tests/soak/soak_report.h"
 #include "tests/soak/soak_run.h"
 
--- a/tests/soak/soak_report.h
+++ b/tests/soak/soak_report.h
@@ -2,7 +2,7 @@
 #define TESTS_SOAK_SOAK_REPORT_H
 
 #include "core/base/error.h"
-#include "tests/soak/soak_judge.h"
+#include "tests/soak/soak_check.h"
 
 #include <stdbool.h>
 
