--- a/core/node/call.h
+++ b/core/node/call.h
@@ -17,7 +17,7 @@
 	CALL_CLAIMING,	/* its id is being claimed in the key-value service */
 	CALL_JOINED,	/* waits for the outcome of an earlier call of its id */
 	CALL_PLACING,	/* waits for an endpoint */
-	CALL_BACKOFF,	/* waits before it is placed again */
+	CALL_BACKOFF,	/* waits before another attempt */
 	CALL_SENT,	/* at an endpoint; nothing delivered yet */
 	CALL_STREAMING, /* tokens delivered: must not be started again */
 	CALL_REATTACH,	/* stream lost; waits to attach to its generation */
@@ -46,15 +46,15 @@
 	int64_t state_since_us; /* when it entered this state */
 	int64_t timer_us;	/* next timer; INT64_MAX: none */
 	int64_t retry_us; /* end of the wait in placing, backoff, reattach */
-	int64_t last_active_us; /* last data from the endpoint, or flow change
-				 */
+	int64_t last_active_us; /* last data from the endpoint, or last change
+				   of flow control */
 
 	uint64_t ticket; /* identifies the call to the home; 0: none */
-	char *home;	 /* home that was asked; "": this node's own share */
+	char *home;	 /* home that has the ticket; "": the local share */
 	bool home_acknowledged; /* the home has confirmed that the ticket is
 				   queued */
 	int64_t placed_us;	/* when the grant arrived */
-	uint32_t shard;		/* index of the shard that was asked */
+	uint32_t shard;		/* index of the shard that the ticket is for */
 
 	uint64_t attempt; /* current attempt; 0: none */
 	int32_t attempts;
--- a/core/node/node.h
+++ b/core/node/node.h
@@ -22,7 +22,7 @@
 /* How entry nodes obtain capacity on engines. */
 enum node_placement {
 	NODE_PLACEMENT_HOME,  /* granted by the home node of each shard */
-	NODE_PLACEMENT_SHARES /* each node uses its own share */
+	NODE_PLACEMENT_SHARES /* each node uses its local share */
 };
 
 struct node_options {
@@ -40,7 +40,8 @@
 	enum placement_policy policy;
 
 	int64_t heartbeat_us; /* interval between probes of a random peer */
-	int64_t suspect_us;   /* from a missed answer to dead */
+	int64_t suspect_us;   /* from a missed answer until the peer counts as
+				 dead */
 	int64_t load_poll_us; /* interval at which a home polls its endpoints */
 	int64_t progress_us;  /* shortest interval of reports to homes */
 	int64_t answer_keep_us; /* validity of a /v1/nodes answer */
@@ -50,7 +51,8 @@
 	int64_t plain_timeout_us;
 	int64_t kv_timeout_us;
 	int64_t drain_timeout_us;
-	int64_t isolation_us; /* without the service and without most peers */
+	int64_t isolation_us; /* longest time without the key-value service and
+				 most peers */
 	int32_t max_calls;    /* open calls at this node */
 	int32_t max_waiting;  /* calls waiting for an endpoint */
 	int32_t max_outcomes; /* request ids whose outcome is kept */
--- a/core/node/node_attempt.c
+++ b/core/node/node_attempt.c
@@ -302,7 +302,10 @@
 	if (!event_id_is_safe_name(event->generation, MAX_GENERATION_LENGTH) ||
 	    (call->generation &&
 	     strcmp(call->generation, event->generation) != 0)) {
-		/* It cannot be resumed, or is another generation. */
+		/*
+		 * The generation cannot be resumed by this name, or it is not
+		 * the one that the call had.
+		 */
 		node_attempt_cancel(node, call, false);
 		if (call_has_tokens(call))
 			call_reattach(node, call);
--- a/core/node/node_call.c
+++ b/core/node/node_call.c
@@ -4,8 +4,10 @@
 
 #include <string.h>
 
-#define HOME_ACK_TIMEOUT_US 600000 /* until the home must have answered */
-#define PLACE_REPEAT_US (5 * G_USEC_PER_SEC) /* for a ticket queued there */
+/* A call whose home is silent for this long is placed by the local share. */
+#define HOME_ACK_TIMEOUT_US 600000
+/* Interval of repeated requests for a ticket that the home has queued. */
+#define PLACE_REPEAT_US (5 * G_USEC_PER_SEC)
 
 static void node_reject_call(struct node *node, const struct event_call *event,
 			     enum refusal refusal, enum run run)
--- a/core/node/node_claim.c
+++ b/core/node/node_claim.c
@@ -9,8 +9,9 @@
  */
 
 #define CLAIM_PREFIX "/siskinlink/claims/"
-#define CLAIM_TTL_S 86400 /* claims last a day, less their lease's age */
-#define CLAIM_LEASE_REPLACE_US (3600ll * G_USEC_PER_SEC) /* 24 leases a day */
+#define CLAIM_TTL_S 86400 /* a claim lasts a day, less the age of its lease */
+/* At most 24 leases a day. */
+#define CLAIM_LEASE_REPLACE_US (3600ll * G_USEC_PER_SEC)
 
 static char *claim_key(const struct call *call)
 {
@@ -62,7 +63,7 @@
 }
 
 /*
- * Claims the call's key, after asking for a lease if there is no recent one.
+ * Claims the call's key, after requesting a lease if there is no recent one.
  * The call stays in CALL_CLAIMING until node_claim_kv gets the answer.
  */
 void node_claim_send(struct node *node, struct call *call)
--- a/core/node/node_config.c
+++ b/core/node/node_config.c
@@ -23,7 +23,9 @@
 #define CONFIG_WATCH_DELAY_US (2 * G_USEC_PER_SEC)
 #define CONFIG_ANNOUNCE_FANOUT 3
 
-/* Enough for a copy of half a MB at 10 Mbit/s; after that it counts as lost. */
+/*
+ * A copy that takes longer counts as lost. Enough for half a MB at 10 Mbit/s.
+ */
 #define CONFIG_COPY_TIMEOUT_US G_USEC_PER_SEC
 
 /* Revision of the configuration in force; 0 if there is none yet. */
@@ -204,7 +206,7 @@
 		node_announce_config(node);
 }
 
-/* Handles the answer to a read of the key; false if it is another answer. */
+/* Handles the answer to a read of the key. Returns false for other answers. */
 bool node_config_kv(struct node *node, const struct kv_answer *answer)
 {
 	const struct kv_entry *entry;
@@ -274,10 +276,10 @@
 }
 
 /*
- * Whether this node's configuration may be out of date unnoticed: for longer
- * than isolation_us, neither the key-value service nor most of the region's
- * nodes have answered. The node then accepts no new calls, since organisations
- * and endpoints in its configuration may have been removed.
+ * Whether neither the key-value service nor most of the region's nodes have
+ * answered for longer than isolation_us. The configuration may then be out of
+ * date without the node's knowledge. The node accepts no new calls, since
+ * organisations and endpoints in its configuration may have been removed.
  */
 bool node_config_is_isolated(const struct node *node)
 {
--- a/core/node/node_discovery.c
+++ b/core/node/node_discovery.c
@@ -7,10 +7,10 @@
  * in the key-value service under a lease, and lists the other nodes' entries.
  *
  * Without it, a node whose seeds are all gone stays alone. It accepts requests,
- * but counts only its own retries, leaving endpoints and holdings, and callers
- * that query it learn of no other node. An address that is out of date costs
- * one unanswered message. A node becomes a member by its own answer, not by its
- * entry.
+ * but does not learn of the other nodes' retries, leaving endpoints and
+ * holdings, and callers that query it learn of no other node. An address that
+ * is out of date costs one unanswered message. A node becomes a member by its
+ * own answer, not by its entry.
  */
 #define NODES_PREFIX "/siskinlink/nodes/"
 
@@ -19,8 +19,8 @@
 
 /*
  * Spreads the registrations of nodes that start together. Each node makes two
- * writes, so 480 nodes make 192 writes a second, half of what the service
- * allows.
+ * writes, so 480 nodes make 192 writes a second, half of what the key-value
+ * service allows.
  */
 #define REGISTER_JITTER_US (5 * G_USEC_PER_SEC)
 
@@ -31,8 +31,8 @@
 
 /*
  * Groups that started from different seeds find each other within this time.
- * 480 nodes make 16 reads a second, which may be stale and so are the cheapest
- * kind.
+ * 480 nodes make 16 reads a second. The reads allow stale data, which makes
+ * them the cheapest kind.
  */
 #define LIST_INTERVAL_US (30 * G_USEC_PER_SEC)
 
@@ -124,7 +124,7 @@
 		 "address", node->options.peer_address);
 }
 
-/* Keeps the node's entry until it leaves, and lists the other nodes. */
+/* Keeps this node registered until it leaves, and lists the other nodes. */
 void node_discovery_step(struct node *node)
 {
 	bool active = node_is_active(node);
@@ -152,8 +152,8 @@
 }
 
 /*
- * Sends a message to the node in an entry, unless it is this node. The value is
- * ADDRESS:LEASE, as the holder of a key writes it.
+ * Probes the node that an entry names, unless it is this node. The value of the
+ * entry is ADDRESS:LEASE, as the holder of a key writes it.
  */
 static void probe_listed_node(struct node *node, const struct kv_entry *entry)
 {
@@ -170,7 +170,10 @@
 	g_free(address);
 }
 
-/* Handles an answer of the key-value service; false if it is not for here. */
+/*
+ * Handles an answer of the key-value service. Returns false if the answer
+ * belongs to another module.
+ */
 bool node_discovery_kv(struct node *node, const struct kv_answer *answer)
 {
 	if (holder_kv(node->own_entry, answer, node->now_us, node->actions))
--- a/core/node/node_home.c
+++ b/core/node/node_home.c
@@ -107,7 +107,7 @@
  * Handles an entry node's request for an endpoint. A repeated request gets the
  * same answer. A node that is not home of any shard of the service does not
  * answer: the requester soon learns of the actual home, or places the call by
- * its own share.
+ * its local share.
  */
 void node_home_place(struct node *node, const struct peer_message *message)
 {
@@ -222,9 +222,9 @@
  * Whether the sender of the message owns the ticket, but no longer lists it or
  * has restarted since it got it.
  */
-static bool ticket_is_missing(const struct home_ticket *ticket,
-			      const struct peer_message *message,
-			      GHashTable *held)
+static bool ticket_is_unlisted(const struct home_ticket *ticket,
+			       const struct peer_message *message,
+			       GHashTable *held)
 {
 	return strcmp(ticket->requester, message->from) == 0 &&
 	       (ticket->incarnation != message->incarnation ||
@@ -235,8 +235,8 @@
  * Releases tickets that their requester no longer lists: the message that
  * released them was lost, and their capacity would stay occupied forever.
  */
-static void node_home_free_missing(struct node *node,
-				   const struct peer_message *message)
+static void node_home_release_unlisted(struct node *node,
+				       const struct peer_message *message)
 {
 	GHashTable *held = g_hash_table_new(g_int64_hash, g_int64_equal);
 	GArray *missing = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -253,7 +253,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct home_ticket *ticket = value;
 
-		if (ticket_is_missing(ticket, message, held))
+		if (ticket_is_unlisted(ticket, message, held))
 			g_array_append_val(missing, ticket->ticket);
 	}
 	for (guint i = 0; i < missing->len; i++)
@@ -273,7 +273,7 @@
 	if (!node->config)
 		return;
 	if (message->progress.complete)
-		node_home_free_missing(node, message);
+		node_home_release_unlisted(node, message);
 	for (guint i = 0; i < message->progress.holdings->len; i++)
 		node_home_update_holding(
 			node, g_ptr_array_index(message->progress.holdings, i),
@@ -281,9 +281,9 @@
 	for (guint i = 0; i < node->shards->len; i++) {
 		struct shard *shard = g_ptr_array_index(node->shards, i);
 
-		if (!g_hash_table_remove(shard->missing_reports, message->from))
+		if (!g_hash_table_remove(shard->awaited_reports, message->from))
 			continue;
-		if (g_hash_table_size(shard->missing_reports) == 0)
+		if (g_hash_table_size(shard->awaited_reports) == 0)
 			shard->grant_from_us = node->now_us;
 	}
 }
--- a/core/node/node_leaving.c
+++ b/core/node/node_leaving.c
@@ -10,7 +10,10 @@
 
 #define ANNOUNCE_INTERVAL_US (10 * G_USEC_PER_SEC)
 
-/* Passes the mark on to the placements: shards of this home, and shares. */
+/*
+ * Applies the mark to the shards whose home is this node and to the local
+ * shares.
+ */
 static void node_apply_leaving(struct node *node, const char *endpoint)
 {
 	bool leaving = g_hash_table_contains(node->leaving, endpoint);
--- a/core/node/node_limits.c
+++ b/core/node/node_limits.c
@@ -97,9 +97,9 @@
 }
 
 /* The report to a home, created on first use. The table does not own it. */
-static struct peer_message *report_message_for(struct node *node,
-					       GHashTable *reports,
-					       const struct member *home)
+static struct peer_message *limit_report_for(struct node *node,
+					     GHashTable *reports,
+					     const struct member *home)
 {
 	struct peer_message *message =
 		g_hash_table_lookup(reports, home->peer_address);
@@ -134,7 +134,7 @@
 		return;
 	}
 	report.organisation_hash = organisation_hash(name);
-	*peer_limits_add(&report_message_for(node, reports, home)->limits) =
+	*peer_limits_add(&limit_report_for(node, reports, home)->limits) =
 		report;
 }
 
--- a/core/node/node_place.c
+++ b/core/node/node_place.c
@@ -332,7 +332,7 @@
 		call->state == CALL_REATTACH);
 }
 
-static void call_hold_as_home(struct node *node, struct call *call,
+static void call_record_grant(struct node *node, struct call *call,
 			      struct shard *shard)
 {
 	struct placement_request request;
@@ -374,7 +374,7 @@
 	g_free(call->home);
 	call->home = g_strdup(shard->home);
 	if (shard->is_home)
-		call_hold_as_home(node, call, shard);
+		call_record_grant(node, call, shard);
 }
 
 /*
--- a/core/node/node_reply.c
+++ b/core/node/node_reply.c
@@ -89,7 +89,7 @@
 	node_call_remove(node, call);
 }
 
-static void call_begin(struct node *node, struct call *call)
+static void call_begin_stream(struct node *node, struct call *call)
 {
 	if (call->begun)
 		return;
@@ -109,7 +109,7 @@
 	struct event_id id;
 	struct action *action;
 
-	call_begin(node, call);
+	call_begin_stream(node, call);
 	call->next_token += token_count;
 	if (call->outcome)
 		outcome_add_chunk(node->outcomes, call->outcome, data,
@@ -145,7 +145,7 @@
 void node_call_end(struct node *node, struct call *call, enum refusal refusal,
 		   const char *finish_reason)
 {
-	call_begin(node, call);
+	call_begin_stream(node, call);
 	if (call->outcome)
 		outcome_set_stream(call->outcome, call, finish_reason);
 	call_emit_end(node, call, refusal, RUN_YES, 0, finish_reason);
--- a/core/node/node_rollout.c
+++ b/core/node/node_rollout.c
@@ -9,7 +9,7 @@
  * the one that holds the key advances all rollouts.
  */
 
-#define HOLDER_KEY "/siskinlink/rollout"
+#define ROLLOUT_KEY "/siskinlink/rollout"
 
 enum {
 	HOLDER_TTL_S = 15,
@@ -40,7 +40,7 @@
 		g_strdup_printf("%s:%016" G_GINT64_MODIFIER "x",
 				node->options.name, node->options.incarnation);
 	struct holder_options options = {
-		.key = HOLDER_KEY,
+		.key = ROLLOUT_KEY,
 		.name = name,
 		.seed = node->options.seed,
 		.next_kv_id = &node->next_kv_id,
@@ -136,7 +136,10 @@
 	g_array_unref(effects);
 }
 
-/* Text of all inputs of a rollout; if it changes, a new rollout is created. */
+/*
+ * Formats all inputs of a rollout as text. If the text changes, a new rollout
+ * is created.
+ */
 static char *format_signature(const struct config_rollout *rollout,
 			      const struct config_service *service)
 {
@@ -196,7 +199,7 @@
 }
 
 /* Removes the rollout with this signature from the list; NULL if none. */
-static struct node_rollout *take_matching(GPtrArray *items,
+static struct node_rollout *steal_rollout(GPtrArray *items,
 					  const char *signature)
 {
 	for (guint i = 0; i < items->len; i++) {
@@ -220,7 +223,8 @@
 
 /*
  * Creates and ends rollouts after a change of the configuration. Unchanged
- * rollouts keep their state: thousands of changes a day concern other things.
+ * rollouts keep their state, since thousands of configuration changes a day do
+ * not concern them.
  */
 void node_rollout_config_changed(struct node *node)
 {
@@ -233,7 +237,7 @@
 		const struct config_service *service =
 			config_find_service(node->config, rollout->service);
 		char *signature = format_signature(rollout, service);
-		struct node_rollout *item = take_matching(before, signature);
+		struct node_rollout *item = steal_rollout(before, signature);
 
 		if (!item) {
 			item = g_new0(struct node_rollout, 1);
@@ -276,7 +280,10 @@
 	return due_us;
 }
 
-/* Handles an answer of the key-value service; false if it is not for here. */
+/*
+ * Handles an answer of the key-value service. Returns false if the answer
+ * belongs to another module.
+ */
 bool node_rollout_kv(struct node *node, const struct kv_answer *answer)
 {
 	if (holder_kv(node->rollout_holder, answer, node->now_us,
--- a/core/node/node_shard.c
+++ b/core/node/node_shard.c
@@ -17,7 +17,7 @@
 
 	g_free(shard->service);
 	g_free(shard->home);
-	g_clear_pointer(&shard->missing_reports, g_hash_table_destroy);
+	g_clear_pointer(&shard->awaited_reports, g_hash_table_destroy);
 	placement_destroy(shard->placement);
 	g_ptr_array_unref(shard->endpoints);
 	g_free(shard);
@@ -87,7 +87,7 @@
 	shard->index = index;
 	shard->kind = service->kind;
 	shard->endpoints = g_ptr_array_new_with_free_func(g_free);
-	shard->missing_reports =
+	shard->awaited_reports =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	return shard;
 }
@@ -100,17 +100,17 @@
  */
 static void shard_await_holdings(struct node *node, struct shard *shard)
 {
-	g_hash_table_remove_all(shard->missing_reports);
+	g_hash_table_remove_all(shard->awaited_reports);
 	shard->grant_from_us = node->now_us + HOLDINGS_TIMEOUT_US;
 	for (size_t i = 0; i < membership_count(node->membership); i++) {
 		const struct member *member =
 			membership_get(node->membership, i);
 
 		if (strcmp(member->name, node->options.name) != 0)
-			g_hash_table_add(shard->missing_reports,
+			g_hash_table_add(shard->awaited_reports,
 					 g_strdup(member->name));
 	}
-	if (g_hash_table_size(shard->missing_reports) == 0)
+	if (g_hash_table_size(shard->awaited_reports) == 0)
 		shard->grant_from_us = node->now_us;
 }
 
@@ -282,7 +282,7 @@
 		GHashTableIter iter;
 		gpointer name;
 
-		g_hash_table_iter_init(&iter, shard->missing_reports);
+		g_hash_table_iter_init(&iter, shard->awaited_reports);
 		while (g_hash_table_iter_next(&iter, &name, NULL)) {
 			if (member_is_gone(node, name))
 				g_hash_table_iter_remove(&iter);
--- a/core/node/node_share.c
+++ b/core/node/node_share.c
@@ -103,8 +103,8 @@
 }
 
 /*
- * Rebuilds the local shares after the endpoints changed. Calls that waited in a
- * share are placed again, and room that calls hold is counted again.
+ * Rebuilds the local shares after the endpoints changed. Calls that waited for
+ * a local share are placed again, and room that calls hold is counted again.
  */
 void node_share_reset(struct node *node)
 {
--- a/core/node/node_state.h
+++ b/core/node/node_state.h
@@ -30,7 +30,7 @@
  *   node_claim.c      plain keys, claimed in the key-value service
  *   node_outcome.c    replies to repeated request ids
  *   node_place.c      entry node's side of placement
- *   node_share.c      placement by this node's own share, without a home
+ *   node_share.c      placement by the local share, without a home
  *   node_progress.c   progress reports to homes
  *   node_attempt.c    attempts at endpoints, retries
  *   node_shard.c      shards of endpoints and their homes
@@ -50,9 +50,9 @@
 	char *home;	       /* name of its home node; NULL: none */
 	bool is_home;	       /* this node is the home */
 	bool dirty;	       /* an input of placement has changed */
-	int64_t grant_from_us; /* a new home grants nothing before */
+	int64_t grant_from_us; /* earliest grant of a new home */
 	GHashTable
-		*missing_reports; /* nodes whose first report is outstanding */
+		*awaited_reports; /* nodes whose first report is outstanding */
 	struct placement *placement; /* home only */
 	GPtrArray *endpoints;	     /* char *: endpoint addresses */
 	enum service_kind kind;
@@ -61,8 +61,8 @@
 /* A ticket that this node, as home, has queued or granted. */
 struct home_ticket {
 	uint64_t ticket;
-	uint64_t incarnation;	 /* of the asker */
-	char *requester;	 /* name of the asker */
+	uint64_t incarnation;	 /* of the requester */
+	char *requester;	 /* name of the requester */
 	char *requester_address; /* peer address; NULL: this node */
 	struct shard *shard;
 	char *endpoint; /* NULL while queued */
@@ -77,8 +77,9 @@
 	uint64_t next_ticket;
 	uint64_t next_kv_id;
 	int64_t now_us;
-	int64_t dispatch_from_us;    /* after a pause: no dispatch before */
-	int64_t drain_check_from_us; /* after a late step: no stop before */
+	int64_t dispatch_from_us;    /* earliest dispatch after a pause */
+	int64_t drain_check_from_us; /* earliest stop of a drained node after a
+					late step */
 	struct action_list *actions; /* output of the current step */
 
 	struct config *config; /* NULL before the first one */
@@ -98,7 +99,7 @@
 	int64_t next_list_us;
 	uint64_t list_kv_id; /* pending read of all entries; 0: none */
 	uint32_t alone_list_count;
-	bool is_registered; /* state that was last logged */
+	bool is_registered; /* as last logged */
 	bool draining;
 	bool stopped;
 	int64_t drain_started_us;
@@ -121,16 +122,18 @@
 	uint64_t claim_lease_kv_id;
 
 	GPtrArray *shards;	    /* struct shard */
-	GHashTable *service_shards; /* service name to its shards, by index */
+	GHashTable *service_shards; /* service name to GPtrArray of its shards,
+				       by index */
 	GHashTable *home_tickets;   /* ticket to struct home_ticket */
-	GHashTable *shares;	    /* service name to placement without home */
+	GHashTable *shares;	    /* service name to the local share, a struct
+				       placement */
 	GHashTable *lengths;	    /* service name to struct length_estimate */
 	GHashTable *leaving;	    /* endpoint to struct leaving_mark */
 	int64_t next_announce_us;   /* of leaving endpoints, to peers */
 	int64_t next_poll_us;
 	int64_t next_progress_us;
 	int32_t progress_count;
-	int32_t full_progress_left; /* number of next reports to send in full */
+	int32_t full_progress_left; /* how many of the next reports are full */
 };
 
 /*
--- a/core/once/outcome_store.c
+++ b/core/once/outcome_store.c
@@ -1,8 +1,8 @@
 #include "core/once/outcome_store.h"
 
 struct outcome_store {
-	GHashTable *by_key; /* char * to struct outcome */
-	GQueue *by_age;	    /* struct outcome, oldest first */
+	GHashTable *by_key;   /* char * to struct outcome */
+	GQueue *by_insertion; /* struct outcome, in order of insertion */
 	int32_t max_outcomes;
 	int32_t max_bytes; /* of the answer kept for each outcome */
 };
@@ -40,7 +40,7 @@
 
 	store->by_key = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					      outcome_destroy);
-	store->by_age = g_queue_new();
+	store->by_insertion = g_queue_new();
 	store->max_outcomes = max_outcomes;
 	store->max_bytes = max_bytes;
 	return store;
@@ -51,7 +51,7 @@
 {
 	if (!store)
 		return;
-	g_queue_free(store->by_age);
+	g_queue_free(store->by_insertion);
 	g_hash_table_destroy(store->by_key);
 	g_free(store);
 }
@@ -82,7 +82,7 @@
 		g_array_new(FALSE, FALSE, sizeof(struct outcome_chunk));
 	g_array_set_clear_func(outcome->chunks, outcome_chunk_clear);
 	g_hash_table_insert(store->by_key, outcome->key, outcome);
-	g_queue_push_tail(store->by_age, outcome);
+	g_queue_push_tail(store->by_insertion, outcome);
 	return outcome;
 }
 
@@ -94,21 +94,23 @@
 
 /*
  * Removes the expired outcomes, except those still pending or running, which
- * move to the end of the queue. The scan starts at the oldest and ends at the
- * first outcome that has not expired, so it costs little.
+ * move to the end of the queue. The scan starts at the outcome inserted
+ * first and ends at the first one that has not expired, so it costs little.
+ * Outcomes behind that one are removed later, also if they have expired.
  */
 void outcome_store_expire(struct outcome_store *store, int64_t now_us)
 {
-	guint count = g_queue_get_length(store->by_age);
+	guint count = g_queue_get_length(store->by_insertion);
 
 	for (guint i = 0; i < count; i++) {
-		struct outcome *outcome = g_queue_peek_head(store->by_age);
+		struct outcome *outcome =
+			g_queue_peek_head(store->by_insertion);
 
 		if (outcome->expires_us > now_us)
 			return;
-		g_queue_pop_head(store->by_age);
+		g_queue_pop_head(store->by_insertion);
 		if (outcome_is_busy(outcome)) {
-			g_queue_push_tail(store->by_age, outcome);
+			g_queue_push_tail(store->by_insertion, outcome);
 			continue;
 		}
 		g_hash_table_remove(store->by_key, outcome->key);
--- a/core/once/outcome_store.h
+++ b/core/once/outcome_store.h
@@ -17,11 +17,11 @@
  */
 
 enum outcome_state {
-	OUTCOME_NOT_RUN,  /* nothing was sent, or it is idempotent: may run */
+	OUTCOME_NOT_RUN,  /* not sent, or idempotent: the request may run */
 	OUTCOME_PENDING,  /* a call is in progress; no attempt is running */
-	OUTCOME_RUNNING,  /* sent to an endpoint, which may have begun it */
-	OUTCOME_COMPLETE, /* answered to the end */
-	OUTCOME_UNKNOWN	  /* may have run; its result is unknown */
+	OUTCOME_RUNNING,  /* sent to an endpoint, which may have started it */
+	OUTCOME_COMPLETE, /* the answer is complete */
+	OUTCOME_UNKNOWN	  /* the request may have run; its result is unknown */
 };
 
 struct outcome_chunk {
@@ -33,9 +33,9 @@
 	char *key; /* organisation and id */
 	enum outcome_state state;
 	uint64_t fingerprint; /* of service, path and body */
-	uint64_t nonce;	      /* of the claim, if the id needs one */
+	uint64_t nonce;	      /* of the claim, if the id is a plain key */
 	bool claimed;	      /* the claim was written for this process */
-	bool maybe_run;	      /* an attempt has run it, or may have */
+	bool maybe_run;	      /* an attempt may have run the request */
 	int64_t expires_us;
 	GArray *waiting; /* uint64_t ids of calls waiting for this outcome */
 
