--- a/core/base/counters.c
+++ b/core/base/counters.c
@@ -84,7 +84,7 @@
 	return descriptions[id].help;
 }
 
-/* The buckets cover a plain call of a few ms up to a deadline of 39 s. */
+/* The buckets range from a plain call of a few ms to a deadline of 39 s. */
 static const int64_t bounds_us[LATENCY_BUCKETS - 1] = {
 	5000,	10000,	25000,	 50000,	  100000,   180000,
 	400000, 800000, 1800000, 5000000, 20000000,
--- a/core/base/timer_heap.c
+++ b/core/base/timer_heap.c
@@ -48,18 +48,18 @@
 	guint count = heap->entries->len;
 
 	for (;;) {
-		guint least = i;
+		guint earliest = i;
 
 		for (guint child = 2 * i + 1; child <= 2 * i + 2; child++) {
 			if (child < count &&
 			    entry_before(entry_at(heap, child),
-					 entry_at(heap, least)))
-				least = child;
+					 entry_at(heap, earliest)))
+				earliest = child;
 		}
-		if (least == i)
+		if (earliest == i)
 			return;
-		entry_swap(heap, i, least);
-		i = least;
+		entry_swap(heap, i, earliest);
+		i = earliest;
 	}
 }
 
--- a/core/lease/holder.c
+++ b/core/lease/holder.c
@@ -25,7 +25,7 @@
 	int64_t sent_us; /* when the last call was sent */
 	int64_t due_us;	 /* of the next call, if none is in flight */
 	int64_t lease;
-	int64_t lease_expires_us; /* on the local clock; early, never late */
+	int64_t lease_expires_us; /* local clock; not after the real expiry */
 	int64_t fence;		  /* fencing number */
 };
 
@@ -84,7 +84,7 @@
 	return holder->options.ttl_s * G_USEC_PER_SEC;
 }
 
-/* Sets the next call after a random 50 to 100 % of the delay. */
+/* Schedules the next call after a random 50 to 100 % of the delay. */
 static void holder_schedule(struct holder *holder, int64_t now_us,
 			    int64_t delay_us)
 {
@@ -93,7 +93,10 @@
 		(int64_t)(g_rand_double(holder->random) * (double)delay_us / 2);
 }
 
-/* The key is not held, or may not be: starts over after the delay. */
+/*
+ * Stops acting as the holder, because the key is not or may not be held, and
+ * starts over after the delay.
+ */
 static void holder_set_idle(struct holder *holder, int64_t now_us,
 			    int64_t delay_us)
 {
@@ -197,7 +200,10 @@
 	send_next(holder, now_us, actions);
 }
 
-/* When holder_step() must run next, in us; INT64_MAX: not before an answer. */
+/*
+ * When holder_step() must run next, in us; INT64_MAX: only after an answer or
+ * holder_set_wanted().
+ */
 int64_t holder_next_due_us(const struct holder *holder)
 {
 	if (holder->kv_id)
--- a/core/limit/organisation_limits.c
+++ b/core/limit/organisation_limits.c
@@ -6,8 +6,8 @@
 #define TOKEN_RETRY_AFTER_US 1000000
 #define DEMAND_WEIGHT 0.5 /* weight of the newest interval */
 
-/* State of one organisation on an entry node. */
-struct organisation_use {
+/* Current usage of one organisation on an entry node. */
+struct organisation_usage {
 	char *name;
 	double credit;	     /* requests that may be admitted now */
 	int64_t refilled_us; /* last update of credit */
@@ -30,16 +30,16 @@
 };
 
 struct organisation_limits {
-	GHashTable *uses;    /* name to struct organisation_use */
+	GHashTable *usages;  /* name to struct organisation_usage */
 	GHashTable *demands; /* name to GPtrArray of struct node_demand */
 };
 
-static void organisation_use_destroy(gpointer data)
+static void organisation_usage_destroy(gpointer data)
 {
-	struct organisation_use *use = data;
+	struct organisation_usage *usage = data;
 
-	g_free(use->name);
-	g_free(use);
+	g_free(usage->name);
+	g_free(usage);
 }
 
 static void node_demand_destroy(gpointer data)
@@ -56,7 +56,7 @@
 }
 
 /*
- * Creates limits without any use or reported demand. The caller frees them
+ * Creates limits without any usage or reported demand. The caller frees them
  * with organisation_limits_destroy.
  */
 struct organisation_limits *organisation_limits_create(void)
@@ -64,8 +64,8 @@
 	struct organisation_limits *limits =
 		g_new0(struct organisation_limits, 1);
 
-	limits->uses = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					     organisation_use_destroy);
+	limits->usages = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+					       organisation_usage_destroy);
 	limits->demands = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 						demands_destroy);
 	return limits;
@@ -76,58 +76,59 @@
 {
 	if (!limits)
 		return;
-	g_hash_table_destroy(limits->uses);
+	g_hash_table_destroy(limits->usages);
 	g_hash_table_destroy(limits->demands);
 	g_free(limits);
 }
 
-static struct organisation_use *
-limits_ensure_use(struct organisation_limits *limits, const char *name)
+static struct organisation_usage *
+limits_ensure_usage(struct organisation_limits *limits, const char *name)
 {
-	struct organisation_use *use = g_hash_table_lookup(limits->uses, name);
-
-	if (use)
-		return use;
-	use = g_new0(struct organisation_use, 1);
-	use->name = g_strdup(name);
-	use->credit = 1;
-	g_hash_table_insert(limits->uses, use->name, use);
-	return use;
+	struct organisation_usage *usage =
+		g_hash_table_lookup(limits->usages, name);
+
+	if (usage)
+		return usage;
+	usage = g_new0(struct organisation_usage, 1);
+	usage->name = g_strdup(name);
+	usage->credit = 1;
+	g_hash_table_insert(limits->usages, usage->name, usage);
+	return usage;
 }
 
-static bool use_has_fresh_share(const struct organisation_use *use,
-				int64_t now_us)
+static bool usage_has_fresh_share(const struct organisation_usage *usage,
+				  int64_t now_us)
 {
-	return use->share_us && now_us - use->share_us <= SHARE_TTL_US;
+	return usage->share_us && now_us - usage->share_us <= SHARE_TTL_US;
 }
 
-static double use_rate(const struct organisation_use *use,
-		       const struct config_organisation *organisation,
-		       size_t node_count, int64_t now_us)
+static double usage_rate(const struct organisation_usage *usage,
+			 const struct config_organisation *organisation,
+			 size_t node_count, int64_t now_us)
 {
-	if (use_has_fresh_share(use, now_us))
-		return use->share_rate;
+	if (usage_has_fresh_share(usage, now_us))
+		return usage->share_rate;
 	return (double)organisation->requests_per_s /
 	       (double)MAX(node_count, 1);
 }
 
-static int64_t use_token_share(const struct organisation_use *use,
-			       const struct config_organisation *organisation,
-			       size_t node_count, int64_t now_us)
+static int64_t usage_token_share(const struct organisation_usage *usage,
+				 const struct config_organisation *organisation,
+				 size_t node_count, int64_t now_us)
 {
-	if (use_has_fresh_share(use, now_us))
-		return use->share_tokens;
+	if (usage_has_fresh_share(usage, now_us))
+		return usage->share_tokens;
 	return organisation->concurrent_tokens / (int64_t)MAX(node_count, 1);
 }
 
 /* Credit accumulates up to one second of the rate, and at least 1 request. */
-static void use_refill(struct organisation_use *use, double rate,
-		       int64_t now_us)
+static void usage_refill(struct organisation_usage *usage, double rate,
+			 int64_t now_us)
 {
-	double seconds = (double)(now_us - use->refilled_us) / G_USEC_PER_SEC;
+	double seconds = (double)(now_us - usage->refilled_us) / G_USEC_PER_SEC;
 
-	use->refilled_us = now_us;
-	use->credit = MIN(use->credit + rate * seconds, MAX(rate, 1));
+	usage->refilled_us = now_us;
+	usage->credit = MIN(usage->credit + rate * seconds, MAX(rate, 1));
 }
 
 /*
@@ -142,29 +143,29 @@
 			  int64_t tokens, size_t node_count, int64_t now_us,
 			  int64_t *retry_after_us)
 {
-	struct organisation_use *use =
-		limits_ensure_use(limits, organisation->name);
-	double rate = use_rate(use, organisation, node_count, now_us);
-
-	use->requests++;
-	if (organisation->concurrent_tokens > 0 && use->tokens > 0 &&
-	    use->tokens + tokens >
-		    use_token_share(use, organisation, node_count, now_us)) {
+	struct organisation_usage *usage =
+		limits_ensure_usage(limits, organisation->name);
+	double rate = usage_rate(usage, organisation, node_count, now_us);
+
+	usage->requests++;
+	if (organisation->concurrent_tokens > 0 && usage->tokens > 0 &&
+	    usage->tokens + tokens > usage_token_share(usage, organisation,
+						       node_count, now_us)) {
 		*retry_after_us = TOKEN_RETRY_AFTER_US;
 		return REFUSAL_TOKEN_LIMIT;
 	}
 	if (organisation->requests_per_s > 0) {
-		use_refill(use, rate, now_us);
-		if (use->credit < 1) {
+		usage_refill(usage, rate, now_us);
+		if (usage->credit < 1) {
 			*retry_after_us =
-				MAX((int64_t)((1 - use->credit) /
+				MAX((int64_t)((1 - usage->credit) /
 					      MAX(rate, 0.01) * G_USEC_PER_SEC),
 				    MIN_RATE_RETRY_AFTER_US);
 			return REFUSAL_RATE_LIMIT;
 		}
-		use->credit -= 1;
+		usage->credit -= 1;
 	}
-	use->tokens += tokens;
+	usage->tokens += tokens;
 	return REFUSAL_NONE;
 }
 
@@ -172,9 +173,10 @@
 void organisation_limits_add_tokens(struct organisation_limits *limits,
 				    const char *organisation, int64_t tokens)
 {
-	struct organisation_use *use = limits_ensure_use(limits, organisation);
+	struct organisation_usage *usage =
+		limits_ensure_usage(limits, organisation);
 
-	use->tokens = MAX(use->tokens + tokens, 0);
+	usage->tokens = MAX(usage->tokens + tokens, 0);
 }
 
 /*
@@ -185,17 +187,18 @@
 				const char *organisation, int64_t now_us,
 				struct peer_limit *report)
 {
-	struct organisation_use *use = limits_ensure_use(limits, organisation);
+	struct organisation_usage *usage =
+		limits_ensure_usage(limits, organisation);
 	double seconds =
-		MAX((double)(now_us - use->reported_us), 1) / G_USEC_PER_SEC;
-	double rate = (double)use->requests / seconds;
-
-	use->demand += (rate - use->demand) * DEMAND_WEIGHT;
-	use->requests = 0;
-	use->reported_us = now_us;
-	report->rate_per_ks = (int64_t)(use->demand * 1000);
-	report->tokens = use->tokens;
-	use->reported_idle = report->rate_per_ks == 0 && use->tokens == 0;
+		MAX((double)(now_us - usage->reported_us), 1) / G_USEC_PER_SEC;
+	double rate = (double)usage->requests / seconds;
+
+	usage->demand += (rate - usage->demand) * DEMAND_WEIGHT;
+	usage->requests = 0;
+	usage->reported_us = now_us;
+	report->rate_per_ks = (int64_t)(usage->demand * 1000);
+	report->tokens = usage->tokens;
+	usage->reported_idle = report->rate_per_ks == 0 && usage->tokens == 0;
 }
 
 static gint compare_names(gconstpointer a, gconstpointer b)
@@ -213,12 +216,12 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, limits->uses);
+	g_hash_table_iter_init(&iter, limits->usages);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct organisation_use *use = value;
+		struct organisation_usage *usage = value;
 
-		if (use->requests || use->tokens || !use->reported_idle)
-			g_ptr_array_add(names, use->name);
+		if (usage->requests || usage->tokens || !usage->reported_idle)
+			g_ptr_array_add(names, usage->name);
 	}
 	g_ptr_array_sort(names, compare_names);
 	return names;
@@ -230,11 +233,12 @@
 				     const struct peer_limit *share,
 				     int64_t now_us)
 {
-	struct organisation_use *use = limits_ensure_use(limits, organisation);
+	struct organisation_usage *usage =
+		limits_ensure_usage(limits, organisation);
 
-	use->share_rate = (double)MAX(share->rate_per_ks, 0) / 1000;
-	use->share_tokens = MAX(share->tokens, 0);
-	use->share_us = now_us;
+	usage->share_rate = (double)MAX(share->rate_per_ks, 0) / 1000;
+	usage->share_tokens = MAX(share->tokens, 0);
+	usage->share_us = now_us;
 }
 
 static struct node_demand *demands_ensure(GPtrArray *demands, const char *node)
--- a/core/limit/quarantine.c
+++ b/core/limit/quarantine.c
@@ -150,10 +150,7 @@
 	entry_table_remove(&quarantine->held, fingerprint);
 }
 
-/*
- * Puts a fingerprint in quarantine for hold_us, whether it was detected here or
- * announced by another node.
- */
+/* Puts a fingerprint in quarantine for hold_us, starting at now_us. */
 void quarantine_hold(struct quarantine *quarantine, uint64_t fingerprint,
 		     int64_t now_us)
 {
@@ -162,7 +159,7 @@
 			now_us + quarantine->options.hold_us);
 }
 
-/* Returns the time in us until which it is refused; 0: not in quarantine. */
+/* Returns when the quarantine of a fingerprint ends, in us; 0: it has none. */
 int64_t quarantine_until_us(const struct quarantine *quarantine,
 			    uint64_t fingerprint, int64_t now_us)
 {
--- a/core/limit/quarantine.h
+++ b/core/limit/quarantine.h
@@ -16,7 +16,7 @@
 struct quarantine_options {
 	int64_t suspect_us;  /* how long a crash is remembered */
 	int64_t hold_us;     /* how long a fingerprint is refused */
-	int32_t max_entries; /* for suspects and for held, each */
+	int32_t max_entries; /* limit of each: suspects, held */
 };
 
 struct quarantine;
--- a/core/limit/retry_window.c
+++ b/core/limit/retry_window.c
@@ -1,15 +1,15 @@
 #include "core/limit/retry_window.h"
 
 /* Slots of a window. The counts of a slot leave the window together. */
-#define SLOTS 40
+#define WINDOW_SLOTS 40
 
 struct retry_window {
 	int64_t slot_us;
 	int64_t slot; /* the current one, counted from the clock's zero */
-	int32_t requests[SLOTS + 1];
-	int32_t retries[SLOTS + 1];
+	int32_t requests[WINDOW_SLOTS + 1];
+	int32_t retries[WINDOW_SLOTS + 1];
 	int32_t percent; /* retries per 100 requests */
-	double extra;	 /* retries allowed on top of that */
+	double extra;	 /* further retries per window */
 };
 
 /*
@@ -20,7 +20,7 @@
 {
 	struct retry_window *window = g_new0(struct retry_window, 1);
 
-	window->slot_us = MAX(window_us / SLOTS, 1);
+	window->slot_us = MAX(window_us / WINDOW_SLOTS, 1);
 	window->slot = now_us / window->slot_us;
 	return window;
 }
@@ -32,8 +32,8 @@
 }
 
 /*
- * Sets the limits. percent is the share of retries per request; extra is a
- * number of retries on top, whose fraction is added to that of the share.
+ * Sets the limits: percent retries per 100 requests, and extra retries per
+ * window. extra may have a fraction; only the sum of both is rounded down.
  */
 void retry_window_set_limits(struct retry_window *window, int32_t percent,
 			     double extra)
@@ -46,10 +46,10 @@
 void retry_window_step(struct retry_window *window, int64_t now_us)
 {
 	int64_t slot = now_us / window->slot_us;
-	int64_t passed = MIN(slot - window->slot, SLOTS + 1);
+	int64_t passed = MIN(slot - window->slot, WINDOW_SLOTS + 1);
 
 	for (int64_t i = 0; i < passed; i++) {
-		int64_t index = (slot - i) % (SLOTS + 1);
+		int64_t index = (slot - i) % (WINDOW_SLOTS + 1);
 
 		window->requests[index] = 0;
 		window->retries[index] = 0;
@@ -60,7 +60,7 @@
 /* Counts the first send of a request, which adds percent / 100 of a retry. */
 void retry_window_count_request(struct retry_window *window)
 {
-	window->requests[window->slot % (SLOTS + 1)]++;
+	window->requests[window->slot % (WINDOW_SLOTS + 1)]++;
 }
 
 /*
@@ -71,10 +71,10 @@
  */
 int64_t retry_window_remaining(const struct retry_window *window)
 {
-	int64_t oldest = (window->slot + 1) % (SLOTS + 1);
+	int64_t oldest = (window->slot + 1) % (WINDOW_SLOTS + 1);
 	int64_t requests = 0, retries = 0;
 
-	for (int64_t i = 0; i <= SLOTS; i++) {
+	for (int64_t i = 0; i <= WINDOW_SLOTS; i++) {
 		requests += i == oldest ? 0 : window->requests[i];
 		retries += window->retries[i];
 	}
@@ -83,11 +83,11 @@
 	       retries;
 }
 
-/* Takes one retry. Returns false if none remains; nothing may be resent. */
+/* Takes one retry. Returns false if none remains: the caller must not retry. */
 bool retry_window_take(struct retry_window *window)
 {
 	if (retry_window_remaining(window) <= 0)
 		return false;
-	window->retries[window->slot % (SLOTS + 1)]++;
+	window->retries[window->slot % (WINDOW_SLOTS + 1)]++;
 	return true;
 }
--- a/core/limit/shared_budgets.c
+++ b/core/limit/shared_budgets.c
@@ -119,7 +119,10 @@
 	update_all_windows(budgets);
 }
 
-/* Returns the retries of a service, owned by the budgets; adds it if new. */
+/*
+ * Returns the retry window of a service, and creates it on first use. The
+ * budgets own it.
+ */
 struct retry_window *shared_budgets_get(struct shared_budgets *budgets,
 					const char *service)
 {
--- a/core/limit/shared_budgets.h
+++ b/core/limit/shared_budgets.h
@@ -17,7 +17,7 @@
  */
 struct shared_budgets_options {
 	int32_t percent; /* retries per 100 requests */
-	int64_t extra;	 /* retries on top, per window and for all nodes */
+	int64_t extra;	 /* further retries per window, of all nodes */
 	int64_t window_us;
 };
 
--- a/core/message/refusal.c
+++ b/core/message/refusal.c
@@ -82,7 +82,7 @@
 	return descriptions[refusal].text;
 }
 
-/* Returns the default "run" value, for calls whose own run is not known. */
+/* Returns the "run" value of a refusal that does not set its own. */
 enum run refusal_default_run(enum refusal refusal)
 {
 	return descriptions[refusal].run;
--- a/core/placement/admission.c
+++ b/core/placement/admission.c
@@ -21,15 +21,15 @@
 
 /*
  * Computes the expected memory at each horizon of a request that holds its
- * prompt and the tokens generated so far (made). max_tokens 0: no limit.
+ * prompt and the output_tokens generated so far. max_tokens 0: no limit.
  */
 void admission_demand_fill(struct admission_demand *demand,
 			   const struct length_curve *curve,
-			   int64_t prompt_tokens, int64_t made,
+			   int64_t prompt_tokens, int64_t output_tokens,
 			   int64_t max_tokens)
 {
-	double survival_now = length_curve_survival(curve, made);
-	int64_t held = prompt_tokens + made;
+	double survival_now = length_curve_survival(curve, output_tokens);
+	int64_t held = prompt_tokens + output_tokens;
 
 	for (int32_t i = 0; i < ADMISSION_HORIZONS; i++) {
 		int64_t offset = horizons[i];
@@ -38,8 +38,9 @@
 
 		if (offset == 0)
 			survival = 1;
-		else if (max_tokens <= 0 || made + offset < max_tokens)
-			survival = length_curve_survival(curve, made + offset) /
+		else if (max_tokens <= 0 || output_tokens + offset < max_tokens)
+			survival = length_curve_survival(
+					   curve, output_tokens + offset) /
 				   survival_now;
 		demand->mean[i] = (float)(size * survival);
 		demand->variance[i] =
@@ -100,7 +101,7 @@
 	const struct admission_known_run *x = a;
 	const struct admission_known_run *y = b;
 
-	return x->left > y->left ? -1 : x->left < y->left;
+	return x->remaining > y->remaining ? -1 : x->remaining < y->remaining;
 }
 
 /*
@@ -120,7 +121,8 @@
 			&g_array_index(known, struct admission_known_run, i);
 
 		held += (double)item->held;
-		peak = MAX(peak, held + (double)(i + 1) * (double)item->left);
+		peak = MAX(peak,
+			   held + (double)(i + 1) * (double)item->remaining);
 	}
 	return peak;
 }
--- a/core/placement/admission.h
+++ b/core/placement/admission.h
@@ -33,12 +33,12 @@
 /* Safety margin of the admission. */
 struct admission_margin {
 	double deviations; /* standard deviations to keep free */
-	double common;	   /* of the error common to all lengths */
+	double common;	   /* deviation of the factor common to all lengths */
 };
 
 void admission_demand_fill(struct admission_demand *demand,
 			   const struct length_curve *curve,
-			   int64_t prompt_tokens, int64_t made,
+			   int64_t prompt_tokens, int64_t output_tokens,
 			   int64_t max_tokens);
 void admission_load_add(struct admission_load *load,
 			const struct admission_demand *demand);
@@ -50,8 +50,8 @@
 
 /* Memory of a request whose end is known, in tokens. */
 struct admission_known_run {
-	int64_t held; /* at present */
-	int64_t left; /* still to be generated */
+	int64_t held;	   /* prompt and output so far */
+	int64_t remaining; /* still to be generated */
 };
 
 double admission_exact_peak(GArray *known);
--- a/core/placement/endpoint_book.c
+++ b/core/placement/endpoint_book.c
@@ -1,6 +1,6 @@
 #include "core/placement/endpoint_book.h"
 
-/* Ages at which the sums, and the demand of a call, are computed again. */
+/* Ages after which the sums and the demand of a call are recomputed. */
 #define SUMS_REFRESH_US (200 * 1000)
 #define DEMAND_REFRESH_US (2 * G_USEC_PER_SEC)
 /*
@@ -14,7 +14,7 @@
 #define INTERVAL_DECAY 0.98 /* weight of the average so far */
 #define MIN_OBSERVED_TOKENS 4
 #define MAX_PREFIXES 256
-/* Reports over which the least foreign memory is taken. */
+/* Foreign memory is the least value over this many load reports. */
 #define FOREIGN_WINDOW_REPORTS 4
 #define MAX_CAPACITY_TOKENS ((int64_t)1 << 40)
 #define MAX_USED_PER_CAPACITY 4 /* a report of more is implausible */
@@ -67,11 +67,11 @@
 {
 	int64_t projected;
 
-	if (call->made <= 0)
+	if (call->output_tokens <= 0)
 		return 0;
 	projected = (int64_t)((double)(now_us - call->progress_us) /
 			      book->interval_us);
-	return call->made + CLAMP(projected, 0, MAX_PROJECTED_TOKENS);
+	return call->output_tokens + CLAMP(projected, 0, MAX_PROJECTED_TOKENS);
 }
 
 static void endpoint_book_fill_demand(const struct endpoint_book *book,
@@ -94,7 +94,7 @@
 	call->progress_us = now_us;
 	if (book->calls->len == 0)
 		book->progress_us = now_us;
-	if (call->made == 0)
+	if (call->output_tokens == 0)
 		book->unread_tokens += call->prompt_tokens;
 	g_ptr_array_add(book->calls, call);
 	admission_load_add(&book->load, &call->demand);
@@ -103,7 +103,7 @@
 /* Removes a call without freeing it. */
 void endpoint_book_remove(struct endpoint_book *book, struct placed_call *call)
 {
-	if (call->made == 0)
+	if (call->output_tokens == 0)
 		book->unread_tokens -= call->prompt_tokens;
 	g_ptr_array_remove_fast(book->calls, call);
 	admission_load_remove(&book->load, &call->demand);
@@ -128,14 +128,15 @@
 				   struct placed_call *call, int64_t tokens,
 				   int64_t now_us)
 {
-	if (tokens <= call->made)
+	if (tokens <= call->output_tokens)
 		return;
-	if (call->made == 0)
+	if (call->output_tokens == 0)
 		book->unread_tokens -= call->prompt_tokens;
 	else
-		endpoint_book_observe_interval(book, tokens - call->made,
+		endpoint_book_observe_interval(book,
+					       tokens - call->output_tokens,
 					       now_us - call->progress_us);
-	call->made = tokens;
+	call->output_tokens = tokens;
 	call->progress_us = now_us;
 	book->progress_us = now_us;
 }
@@ -144,10 +145,12 @@
 					const struct placed_call *call,
 					int64_t now_us)
 {
-	int64_t made = endpoint_book_estimate_tokens(book, call, now_us);
+	int64_t output_tokens =
+		endpoint_book_estimate_tokens(book, call, now_us);
 
-	return made - call->demand_at_tokens >
-		       REFILL_GROWTH_TOKENS + made / REFILL_GROWTH_DIVISOR ||
+	return output_tokens - call->demand_at_tokens >
+		       REFILL_GROWTH_TOKENS +
+			       output_tokens / REFILL_GROWTH_DIVISOR ||
 	       now_us - call->demand_filled_us > DEMAND_REFRESH_US;
 }
 
@@ -181,11 +184,12 @@
 }
 
 static void admission_known_append(GArray *known,
-				   const struct placed_call *call, int64_t made)
+				   const struct placed_call *call,
+				   int64_t output_tokens)
 {
 	struct admission_known_run item = {
-		.held = call->prompt_tokens + made,
-		.left = MAX(call->true_tokens - made, 1),
+		.held = call->prompt_tokens + output_tokens,
+		.remaining = MAX(call->true_tokens - output_tokens, 1),
 	};
 
 	g_array_append_val(known, item);
@@ -234,7 +238,7 @@
  * is older than the book, so that an excess over the book may belong to calls
  * that have just ended; the least excess of several reports is taken. Nothing
  * is estimated where the placement divides the capacity among several nodes,
- * since each of them has only its part of it.
+ * since the calls of the others then use their own parts.
  */
 static void endpoint_book_estimate_foreign(struct endpoint_book *book,
 					   int64_t tokens_used)
--- a/core/placement/endpoint_book.h
+++ b/core/placement/endpoint_book.h
@@ -36,8 +36,8 @@
 
 	struct endpoint_book *book; /* NULL while it waits */
 	int64_t placed_us;
-	int64_t made;	 /* output tokens at the last progress */
-	int64_t counted; /* tokens in the length estimate */
+	int64_t output_tokens;	/* output tokens at the last progress */
+	int64_t counted_tokens; /* tokens in the length estimate */
 	int64_t progress_us;
 	double charged_tokens; /* tokens charged to its organisation */
 	struct admission_demand demand;
@@ -51,7 +51,7 @@
 	int64_t capacity_tokens;
 	bool capacity_configured;
 	int32_t slots;
-	int32_t sharing_nodes; /* nodes assumed to hold as many calls there */
+	int32_t sharing_nodes; /* nodes assumed to have equally many calls */
 	bool leaving;
 	bool reported_leaving;
 	GPtrArray *calls; /* struct placed_call */
@@ -59,8 +59,8 @@
 	int64_t refreshed_us;
 	int64_t unread_tokens;	 /* prompt tokens of calls without output */
 	int64_t foreign_tokens;	 /* held for other nodes, from its reports */
-	int64_t foreign_min;	 /* least in this window of reports */
-	int32_t foreign_reports; /* in this window */
+	int64_t foreign_min;	 /* least excess in this report window */
+	int32_t foreign_reports; /* reports in this window so far */
 	struct pace pace;
 	double interval_us;  /* between tokens, decaying average */
 	int64_t progress_us; /* last new token of any call */
--- a/core/placement/endpoint_health.c
+++ b/core/placement/endpoint_health.c
@@ -8,11 +8,11 @@
 #define ASIDE_FAILURES 1.5 /* a second failure before the first decayed */
 #define FIRST_ASIDE_US (2 * G_USEC_PER_SEC)
 #define MAX_ASIDE_US (60 * G_USEC_PER_SEC)
-#define RELAPSE_WINDOW_US (30 * G_USEC_PER_SEC) /* after the return */
+#define RELAPSE_WINDOW_US (30 * G_USEC_PER_SEC) /* after its return ended */
 #define LAST_TRIAL_SIZE 32
 #define UNREACHABLE_POLLS 2
 
-/* Sets the state of an endpoint without failures. */
+/* Initialises the health of an endpoint that has no failures yet. */
 void endpoint_health_init(struct endpoint_health *health)
 {
 	*health = (struct endpoint_health){.next_aside_us = FIRST_ASIDE_US};
--- a/core/placement/endpoint_health.h
+++ b/core/placement/endpoint_health.h
@@ -22,7 +22,7 @@
 	int64_t decayed_us;	   /* when failures last decayed */
 	int64_t until_us;	   /* end of the time aside */
 	int64_t next_aside_us;	   /* duration of the next time aside */
-	int64_t relapse_before_us; /* put aside before this: a relapse */
+	int64_t relapse_before_us; /* being put aside until then is a relapse */
 	int32_t trial_size;	   /* requests in this round */
 	int32_t trial_left;	   /* requests of this round not yet placed */
 	int32_t unanswered_polls;  /* consecutive */
--- a/core/placement/length_estimate.c
+++ b/core/placement/length_estimate.c
@@ -14,7 +14,7 @@
 #define PRIOR_HAZARD_STEP 0.012 /* per bin after the single-token bins */
 #define PRIOR_HAZARD_MAX 0.5
 #define PRIOR_WEIGHT_ANSWERS 4
-#define CONFIDENCE_ANSWERS 4 /* for a confidence of one half */
+#define CONFIDENCE_ANSWERS 4 /* this many give a confidence of 1/2 */
 #define REBUILD_OBSERVATIONS 16
 #define HAZARD_MAX 0.999
 #define SURVIVAL_MIN 1e-12F
@@ -353,28 +353,29 @@
 }
 
 /*
- * Returns the mean number of tokens that follow after the first made ones.
+ * Returns the mean number of tokens that follow after the first output_tokens.
  * max_tokens limits the length of the answer; 0 means no limit.
  */
 double length_curve_mean_remaining(const struct length_curve *curve,
-				   int64_t made, int64_t max_tokens)
+				   int64_t output_tokens, int64_t max_tokens)
 {
-	double now = length_curve_survival(curve, made);
-	double left = 0;
-	int64_t from = made;
+	double now = length_curve_survival(curve, output_tokens);
+	double remaining = 0;
+	int64_t from = output_tokens;
 
 	if (max_tokens <= 0)
 		max_tokens = LENGTH_MAX_TOKENS;
-	for (int32_t bin = length_bin(made); bin < LENGTH_BINS; bin++) {
+	for (int32_t bin = length_bin(output_tokens); bin < LENGTH_BINS;
+	     bin++) {
 		int64_t to = MIN(length_bin_start(bin + 1), max_tokens);
 
 		if (to <= from)
 			break;
-		left += (double)(to - from) *
-			(length_curve_survival(curve, from) +
-			 length_curve_survival(curve, to)) /
-			2;
+		remaining += (double)(to - from) *
+			     (length_curve_survival(curve, from) +
+			      length_curve_survival(curve, to)) /
+			     2;
 		from = to;
 	}
-	return left / MAX(now, 1e-9);
+	return remaining / MAX(now, 1e-9);
 }
--- a/core/placement/length_estimate.h
+++ b/core/placement/length_estimate.h
@@ -58,7 +58,7 @@
 const struct length_curve *length_class_curve(struct length_class *cls);
 double length_curve_survival(const struct length_curve *curve, int64_t n);
 double length_curve_mean_remaining(const struct length_curve *curve,
-				   int64_t made, int64_t max_tokens);
+				   int64_t output_tokens, int64_t max_tokens);
 
 G_END_DECLS
 
--- a/core/placement/placement.c
+++ b/core/placement/placement.c
@@ -20,9 +20,9 @@
 
 #define DEMAND_MAX_AGE_US G_USEC_PER_SEC /* an older estimate is recomputed */
 #define SHORT_DIVISOR 100 /* short: at most 1/100 of the largest memory */
-/* For requests without a deadline. */
+/* Latest useful start of a request without a deadline, from its arrival. */
 #define DEFAULT_START_WITHIN_US (60 * G_USEC_PER_SEC)
-#define PLAIN_INITIAL_US 100000.0 /* initial mean duration of plain calls */
+#define INITIAL_PLAIN_DURATION_US 100000.0
 
 static void placed_call_free(gpointer data)
 {
@@ -74,7 +74,7 @@
 	placement->submitted = g_ptr_array_new();
 	placement->rand = g_rand_new_with_seed((guint32)options->seed);
 	placement->share_divisor = 1;
-	placement->plain_duration_us = PLAIN_INITIAL_US;
+	placement->plain_duration_us = INITIAL_PLAIN_DURATION_US;
 	placement->interval_us = placement->options.step_us;
 	return placement;
 }
@@ -133,14 +133,15 @@
 		return 1;
 	return (double)call->prompt_tokens +
 	       length_curve_mean_remaining(length_class_curve(call->cls),
-					   call->made, call->max_tokens);
+					   call->output_tokens,
+					   call->max_tokens);
 }
 
 static void placed_call_set_order(const struct placement *placement,
 				  struct placed_call *call, int64_t now_us)
 {
 	struct queue_entry *entry = &call->entry;
-	double left = entry->tokens - (double)call->prompt_tokens;
+	double remaining = entry->tokens - (double)call->prompt_tokens;
 
 	entry->arrival_us = now_us;
 	entry->lane = QUEUE_SHORT;
@@ -155,8 +156,8 @@
 	if (call->deadline_us > 0)
 		entry->start_by_us =
 			call->deadline_us -
-			(int64_t)(left * (double)placement->options.step_us /
-				  2);
+			(int64_t)(remaining *
+				  (double)placement->options.step_us / 2);
 	/*
 	 * Calls of unknown length use the short lane. A new home that replaces
 	 * a lost one has no length statistics yet: if short checks waited
@@ -164,7 +165,7 @@
 	 * lengths would be learned too late.
 	 */
 	if (((double)call->prompt_tokens +
-	     left * length_class_confidence(call->cls)) *
+	     remaining * length_class_confidence(call->cls)) *
 		    SHORT_DIVISOR >
 	    (double)placement->largest_tokens)
 		entry->lane = QUEUE_LONG;
@@ -173,9 +174,9 @@
 static void placed_call_fill_demand(struct placed_call *call, int64_t now_us)
 {
 	admission_demand_fill(&call->demand, length_class_curve(call->cls),
-			      call->prompt_tokens, call->made,
+			      call->prompt_tokens, call->output_tokens,
 			      call->max_tokens);
-	call->demand_at_tokens = call->made;
+	call->demand_at_tokens = call->output_tokens;
 	call->demand_filled_us = now_us;
 }
 
@@ -192,8 +193,8 @@
 
 static struct placed_call *
 placement_add_call(struct placement *placement,
-		   const struct placement_request *request, int64_t made,
-		   int64_t now_us)
+		   const struct placement_request *request,
+		   int64_t output_tokens, int64_t now_us)
 {
 	const char *name = request->organisation ? request->organisation : "";
 	struct placed_call *call;
@@ -209,8 +210,8 @@
 	call->deadline_us = request->deadline_us;
 	call->prefix_hash = request->prefix_hash;
 	call->avoid_hash = request->avoid_hash;
-	call->made = CLAMP(made, 0, LENGTH_MAX_TOKENS);
-	call->counted = call->made;
+	call->output_tokens = CLAMP(output_tokens, 0, LENGTH_MAX_TOKENS);
+	call->counted_tokens = call->output_tokens;
 	call->cls = length_estimate_get_class(placement->lengths, name,
 					      call->prompt_tokens,
 					      call->prefix_hash);
--- a/core/placement/placement.h
+++ b/core/placement/placement.h
@@ -116,7 +116,7 @@
 	uint64_t placed;
 	uint64_t refused;
 	uint64_t reports_taken;
-	uint64_t reports_older;	 /* ignored: older than the last one taken */
+	uint64_t reports_older;	 /* ignored: older than the last accepted one */
 	uint64_t reports_absurd; /* ignored: implausible values */
 	uint64_t unknown;	 /* operations on unknown tickets, addresses */
 	uint64_t put_aside;	 /* times an endpoint was put aside */
--- a/core/placement/placement_release.c
+++ b/core/placement/placement_release.c
@@ -10,9 +10,10 @@
 
 static void placement_count_tokens(struct placed_call *call, int64_t tokens)
 {
-	if (tokens > call->counted) {
-		length_class_count_progress(call->cls, call->counted, tokens);
-		call->counted = tokens;
+	if (tokens > call->counted_tokens) {
+		length_class_count_progress(call->cls, call->counted_tokens,
+					    tokens);
+		call->counted_tokens = tokens;
 	}
 }
 
@@ -25,7 +26,7 @@
 {
 	struct placed_call *call = placement_find_call(placement, ticket);
 
-	if (!call || !call->book || tokens <= call->made ||
+	if (!call || !call->book || tokens <= call->output_tokens ||
 	    tokens > LENGTH_MAX_TOKENS)
 		return;
 	endpoint_book_record_progress(call->book, call, tokens, now_us);
@@ -36,11 +37,11 @@
 static void placement_learn_length(struct placed_call *call,
 				   enum release_outcome outcome, int64_t tokens)
 {
-	bool cut = call->max_tokens > 0 && tokens >= call->max_tokens;
+	bool reached_limit = call->max_tokens > 0 && tokens >= call->max_tokens;
 
 	tokens = MIN(tokens, LENGTH_MAX_TOKENS);
-	if (outcome == RELEASE_COMPLETE && !cut && tokens > 0)
-		length_class_count_end(call->cls, call->counted, tokens);
+	if (outcome == RELEASE_COMPLETE && !reached_limit && tokens > 0)
+		length_class_count_end(call->cls, call->counted_tokens, tokens);
 	else
 		placement_count_tokens(call, tokens);
 }
@@ -82,9 +83,9 @@
 		placement->decayed_token_s * HELD_DECAY + used * held_s;
 }
 
-static void placement_learn_plain(struct placement *placement,
-				  const struct placed_call *call,
-				  int64_t now_us)
+static void placement_learn_plain_duration(struct placement *placement,
+					   const struct placed_call *call,
+					   int64_t now_us)
 {
 	placement->plain_duration_us =
 		placement->plain_duration_us * PLAIN_DECAY +
@@ -110,12 +111,12 @@
 		placement_remove_call(placement, call);
 		return;
 	}
-	tokens = MAX(tokens, call->made);
+	tokens = MAX(tokens, call->output_tokens);
 	if (placement->options.kind == SERVICE_GENERATION) {
 		used = (double)(call->prompt_tokens + tokens);
 		placement_learn_length(call, outcome, tokens);
 	} else if (outcome == RELEASE_COMPLETE) {
-		placement_learn_plain(placement, call, now_us);
+		placement_learn_plain_duration(placement, call, now_us);
 	}
 	wait_queue_charge(placement->queue, call->entry.organisation,
 			  used - call->charged_tokens, false);
--- a/core/placement/placement_state.h
+++ b/core/placement/placement_state.h
@@ -33,7 +33,10 @@
 	double ended; /* since rate_updated_us */
 	int64_t rate_updated_us;
 
-	/* Decayed sums over ended requests, to predict the rate when full. */
+	/*
+	 * Decayed sums over ended requests, which predict the end rate when all
+	 * endpoints are full.
+	 */
 	double decayed_tokens;	/* tokens or plain calls */
 	double decayed_token_s; /* the same, times the seconds they were held */
 
--- a/core/placement/placement_step.c
+++ b/core/placement/placement_step.c
@@ -14,7 +14,7 @@
 #define RETRY_MIN_US G_USEC_PER_SEC
 #define RETRY_MAX_US (120 * G_USEC_PER_SEC)
 #define NO_ENDPOINT_RETRY_US (2 * G_USEC_PER_SEC)
-/* Deviations; one preemption per 2000 grants balances it. */
+/* In deviations; one preemption per 2000 grants offsets it. */
 #define MARGIN_DOWN_PER_GRANT 0.00005
 #define MARGIN_MIN 1.0
 #define REPORT_FRESH_US (5 * G_USEC_PER_SEC)
@@ -23,7 +23,7 @@
 	struct placement *placement;
 	int64_t now_us;
 	GArray *decisions;
-	bool has_endpoint; /* not all endpoints are leaving */
+	bool has_endpoint; /* at least one is not leaving */
 };
 
 static struct placed_call *entry_call(struct queue_entry *entry)
@@ -44,8 +44,8 @@
 }
 
 /*
- * Time in us in which that many waiting tokens are worked off at the present
- * rate; RETRY_MIN_US if the rate is not known yet.
+ * Time in us until that many waiting tokens are served at the present rate;
+ * RETRY_MIN_US if the rate is not known yet.
  */
 static double placement_backlog_us(const struct placement *placement,
 				   double tokens)
--- a/core/placement/wait_queue.c
+++ b/core/placement/wait_queue.c
@@ -4,7 +4,7 @@
 #define AGEING_US (10 * G_USEC_PER_SEC)
 /*
  * A request that must start within URGENT_US is ordered as if its organisation
- * had been served fewer tokens.
+ * had been served URGENT_CREDIT_TOKENS fewer.
  */
 #define URGENT_US (2 * G_USEC_PER_SEC)
 #define URGENT_CREDIT_TOKENS 2000.0 /* per weight */
@@ -232,8 +232,9 @@
 
 /*
  * Estimates the tokens that are served before an entry under fair queueing:
- * those of its own organisation before it, and for each other organisation as
- * many in proportion to the weights, at most those that it has waiting.
+ * those of its own organisation before it, and for each other organisation the
+ * same number scaled by the ratio of the weights, but at most its waiting
+ * tokens.
  */
 double wait_queue_tokens_ahead(const struct wait_queue *queue,
 			       const struct queue_entry *entry)
--- a/ports/action.h
+++ b/ports/action.h
@@ -44,7 +44,7 @@
 	int32_t status;
 	char *content_type;
 	GBytes *body;
-	bool replayed; /* outcome of the first run of a repeated id */
+	bool replayed; /* outcome of an earlier run under the same id */
 };
 
 struct action_call_refuse {
--- a/ports/event.h
+++ b/ports/event.h
@@ -95,7 +95,7 @@
 	int32_t status;
 	const char *content_type;
 	GBytes *body;
-	bool replayed; /* first outcome of a repeated id, from a node */
+	bool replayed; /* a node answered with the outcome of an earlier run */
 };
 
 enum attempt_stage {
--- a/ports/peer_message.h
+++ b/ports/peer_message.h
@@ -25,7 +25,7 @@
 	PEER_PROGRESS, /* entry node: grants it holds, tokens so far */
 	PEER_RELEASE,  /* entry node: a grant has ended */
 	PEER_CONFIG,   /* a configuration document and its revision */
-	PEER_CONFIG_REQUEST, /* requests the configuration if it is newer */
+	PEER_CONFIG_REQUEST, /* requests a newer configuration, if any */
 	PEER_LEAVING,	     /* these endpoints take no new requests */
 	PEER_QUARANTINE,   /* request fingerprint seen at an endpoint's crash */
 	PEER_LIMIT_REPORT, /* sender's demand on organisations' limits */
@@ -34,8 +34,7 @@
 	PEER_ROUTES,	   /* gateway: its configuration document */
 	PEER_CHOOSE,	   /* gateway: requests an engine from its home */
 	PEER_CHOSEN,	   /* home: answer to PEER_CHOOSE */
-	PEER_ROUTES_REQUEST, /* gateway: requests the routes if they are newer
-			      */
+	PEER_ROUTES_REQUEST, /* gateway: requests newer routes, if any */
 	PEER_MESSAGE_TYPES
 };
 
