--- a/codec/peer_choose.c
+++ b/codec/peer_choose.c
@@ -2,7 +2,7 @@
 
 #include "codec/peer_field.h"
 
-/* Engines that a request was already sent to; each attempt uses one retry. */
+/* Engines that a request was already sent to; each took one of its retries. */
 #define MAX_AVOIDED 16
 
 #define CHILD_AVOID 9
--- a/codec/peer_codec.c
+++ b/codec/peer_codec.c
@@ -503,7 +503,7 @@
 	return false;
 }
 
-/* Index of the sender's name in the body; the sender's address follows it. */
+/* Returns the index of the sender's name in the body; its address is next. */
 static gsize sender_child_index(enum peer_message_type type)
 {
 	return (gsize)(strchr(body_formats[type], 's') - body_formats[type]) -
@@ -557,9 +557,9 @@
 
 /*
  * Returns the message in a record, owned by the caller, or NULL with
- * ERROR_TOO_LARGE or ERROR_INVALID; the error's peer is the sender's name once
- * that is decoded. The body is read only after all of it has been verified to
- * be in normal form.
+ * ERROR_TOO_LARGE or ERROR_INVALID. The error's peer is the sender's name if
+ * that was decoded before the error. The body is read only after all of it has
+ * been verified to be in normal form.
  */
 struct peer_message *peer_codec_decode(GBytes *record, struct error *error)
 {
--- a/codec/peer_progress.c
+++ b/codec/peer_progress.c
@@ -158,7 +158,7 @@
 }
 
 struct progress_body {
-	GVariant *children[PROGRESS_CHILDREN]; /* filled from 5, the names */
+	GVariant *children[PROGRESS_CHILDREN]; /* NULL before 5, the names */
 	uint64_t base_ticket;
 	gsize count; /* holdings */
 	const char **names;
@@ -179,8 +179,8 @@
 }
 
 /* A column has one value per holding, or is empty, which means all zeros. */
-static bool progress_body_column(const struct progress_body *progress, int i,
-				 gsize size, const void *data)
+static bool progress_body_read_column(const struct progress_body *progress,
+				      int i, gsize size, const void *data)
 {
 	const void **column = (const void **)data;
 	gsize length;
@@ -192,7 +192,7 @@
 	return length == 0 || length == progress->count;
 }
 
-static bool progress_body_names(struct progress_body *progress)
+static bool progress_body_read_names(struct progress_body *progress)
 {
 	progress->names = g_variant_get_strv(progress->children[5],
 					     &progress->name_count);
@@ -215,14 +215,14 @@
 	progress->count = g_variant_n_children(progress->children[6]) +
 			  g_variant_n_children(progress->children[7]);
 	valid = progress->count <= MAX_HOLDINGS &&
-		progress_body_names(progress) &&
-		progress_body_column(progress, 6, 8, &progress->tickets) &&
-		progress_body_column(progress, 7, 4, &progress->offsets);
+		progress_body_read_names(progress) &&
+		progress_body_read_column(progress, 6, 8, &progress->tickets) &&
+		progress_body_read_column(progress, 7, 4, &progress->offsets);
 	for (int i = 0; valid && i < 3; i++)
-		valid = progress_body_column(progress, 8 + i, 2,
-					     &progress->name_indices[i]) &&
-			progress_body_column(progress, 11 + i, 4,
-					     &progress->token_counts[i]);
+		valid = progress_body_read_column(progress, 8 + i, 2,
+						  &progress->name_indices[i]) &&
+			progress_body_read_column(progress, 11 + i, 4,
+						  &progress->token_counts[i]);
 	return valid;
 }
 
--- a/codec/peer_standing.h
+++ b/codec/peer_standing.h
@@ -8,7 +8,7 @@
 
 G_BEGIN_DECLS
 
-/* The body of PEER_STANDING. */
+/* The body of PEER_STANDING: the record that a node announces. */
 #define PEER_HELD_FORMAT "(tuuuu)"
 #define PEER_REGISTRATION_FORMAT "(ssssxxxuyy)"
 #define PEER_STANDING_FORMAT                                                   \
--- a/core/membership/member_table.h
+++ b/core/membership/member_table.h
@@ -23,7 +23,7 @@
 	int64_t added_us;
 	int64_t changed_us;	/* when its state last changed */
 	uint64_t change_number; /* rises with each change in the table */
-	int32_t spread_left;	/* messages that still carry the record */
+	int32_t spread_left;	/* how many more messages carry the record */
 	bool probe_failed;	/* a probe by this node got no answer */
 	bool local; /* only this node has set the state; it is not spread */
 	bool left_voluntarily; /* the node has announced that it leaves */
--- a/core/membership/membership.c
+++ b/core/membership/membership.c
@@ -55,7 +55,8 @@
 	const GPtrArray *view = member_table_view(membership->table);
 
 	return view->len -
-	       (membership_own(membership)->state != MEMBER_DEAD ? 1 : 0);
+	       (membership_own_record(membership)->state != MEMBER_DEAD ? 1
+									: 0);
 }
 
 /*
@@ -119,7 +120,7 @@
 			  g_rand_double_range(membership->random, 0.9, 1.1));
 	membership->heartbeat_count++;
 	membership->address_probes_left = MAX_ADDRESS_PROBES;
-	if (membership_own(membership)->state == MEMBER_DEAD)
+	if (membership_own_record(membership)->state == MEMBER_DEAD)
 		return;
 	if (membership_other_count(membership) == 0) {
 		membership_join(membership);
@@ -179,7 +180,7 @@
 					     membership_suspect_timeout_us(
 						     membership, peer));
 	}
-	membership->next_due_us = membership->announce ? 0 : due_us;
+	membership->next_due_us = membership->announce_pending ? 0 : due_us;
 }
 
 static void membership_start(struct membership *membership)
@@ -211,7 +212,7 @@
 	if (!membership->started)
 		membership_start(membership);
 	membership_check_pause(membership);
-	if (membership->announce)
+	if (membership->announce_pending)
 		membership_announce(membership);
 	membership_check_probes(membership);
 	membership_check_suspects(membership);
@@ -250,7 +251,7 @@
 	member_table_set_state(membership->table, self, state,
 			       membership->now_us);
 	membership_raise_version(membership, 0);
-	membership->announce = true;
+	membership->announce_pending = true;
 	membership->next_due_us = 0;
 }
 
@@ -262,7 +263,7 @@
 void membership_set_config_revision(struct membership *membership,
 				    int64_t revision)
 {
-	membership_own(membership)->config_revision = revision;
+	membership_own_record(membership)->config_revision = revision;
 }
 
 /* Returns how many members are not dead, including the node itself. */
@@ -295,7 +296,7 @@
 /* Returns the record of the node itself. */
 const struct member *membership_self(const struct membership *membership)
 {
-	return membership_own(membership);
+	return membership_own_record(membership);
 }
 
 /*
@@ -308,8 +309,9 @@
 }
 
 /*
- * Returns when a probe was last answered while more than half of the known
- * nodes of the region answered, in us. Dead nodes count as known until they are
+ * Returns in us when a ping was last answered while more than half of the known
+ * nodes of the region were answering. The answer must come from the own region
+ * unless no other node of it is known. Dead nodes count as known until they are
  * removed, unless they had announced that they leave. For a node that knows no
  * others the result is the current time.
  */
--- a/core/membership/membership_gossip.c
+++ b/core/membership/membership_gossip.c
@@ -2,16 +2,16 @@
 
 #include <string.h>
 
-#define GOSSIP_MEMBERS 6
-#define GOSSIP_BURST 15	       /* records while many changes are pending */
-#define GOSSIP_OTHER_REGIONS 2 /* of the extra records, from other regions */
-#define GOSSIP_EXTRA_ONE_IN 4  /* messages, one of which has an extra record */
-#define NEW_MEMBER_HEARTBEATS 20 /* a new member gets more records */
-#define ANNOUNCE_OWN_REGION 8
+#define GOSSIP_RECORDS 6	/* changed records in a message */
+#define GOSSIP_BURST_RECORDS 15 /* instead, while many changes are pending */
+#define GOSSIP_OTHER_REGIONS 2	/* random records from other regions */
+#define GOSSIP_EXTRA_ONE_IN 4	/* one message in so many has a random record */
+#define NEW_MEMBER_HEARTBEATS 20 /* how long a member gets more records */
+#define ANNOUNCE_OWN_REGION 8	 /* members to ping at once */
 #define ANNOUNCE_OTHER_REGIONS 2
 
 /* Returns the record of the node itself; the table owns it. */
-struct member *membership_own(const struct membership *membership)
+struct member *membership_own_record(const struct membership *membership)
 {
 	return member_table_self(membership->table)->member;
 }
@@ -98,23 +98,24 @@
 	       NEW_MEMBER_HEARTBEATS * membership->heartbeat_us;
 }
 
-/* Returns the record count up to which random records fill a message. */
+/* Returns up to how many records a message is filled with random ones. */
 static size_t membership_extra_count(struct membership *membership,
 				     const struct peer *to)
 {
 	if (!to || membership_peer_is_new(membership, to) ||
 	    !member_table_in_own_region(membership->table, to))
-		return GOSSIP_MEMBERS;
+		return GOSSIP_RECORDS;
 	return g_rand_int_range(membership->random, 0, GOSSIP_EXTRA_ONE_IN) ==
 	       0;
 }
 
 /*
- * Appends the records that a message to a peer carries; to may be NULL. These
- * are the peer's own record if it has to refute it, the records that changed,
- * and random ones if the peer is new, unknown or in another region. All other
- * peers get an occasional random record, which repairs what lost messages left
- * out.
+ * Appends the records that a message to a peer carries; to is NULL for an
+ * unknown peer. If the record of that peer marks it suspect or dead, and not
+ * only at this node, it comes first, so that the peer can refute it. The
+ * records that changed follow, then random ones if the peer is new, unknown or
+ * in another region. All other peers get a random record in one message of
+ * GOSSIP_EXTRA_ONE_IN, to make up for changes in messages that were lost.
  */
 void membership_add_gossip(struct membership *membership, const struct peer *to,
 			   GPtrArray *members)
@@ -125,10 +126,11 @@
 
 	if (to && !peer_is_answering(to) && !to->local)
 		member_list_add(members, to);
-	member_table_collect_changes(
-		membership->table,
-		backlog > 2 * GOSSIP_MEMBERS ? GOSSIP_BURST : GOSSIP_MEMBERS,
-		members);
+	member_table_collect_changes(membership->table,
+				     backlog > 2 * GOSSIP_RECORDS
+					     ? GOSSIP_BURST_RECORDS
+					     : GOSSIP_RECORDS,
+				     members);
 	if (members->len < extra) {
 		size_t room = extra - members->len;
 		struct pick pick = {
@@ -158,7 +160,7 @@
 			  enum peer_message_type type, uint64_t number,
 			  const char *subject)
 {
-	const struct member *own = membership_own(membership);
+	const struct member *own = membership_own_record(membership);
 	struct peer_message *message = peer_message_create(type);
 
 	message->from = g_strdup(own->name);
@@ -207,7 +209,7 @@
 	const struct pick other_regions = {.max = ANNOUNCE_OTHER_REGIONS};
 	GPtrArray *picked = g_ptr_array_new();
 
-	membership->announce = false;
+	membership->announce_pending = false;
 	membership_pick(membership, &own_region, picked);
 	membership_pick(membership, &other_regions, picked);
 	for (guint i = 0; i < picked->len; i++) {
--- a/core/membership/membership_merge.c
+++ b/core/membership/membership_merge.c
@@ -4,7 +4,10 @@
 
 #define REJOIN_BURST 8
 
-/* Pings the node now at an address, a limited number of times a heartbeat. */
+/*
+ * Pings an address to learn which node has it now. The number of these pings in
+ * each heartbeat is limited.
+ */
 static void membership_verify_address(struct membership *membership,
 				      const char *address)
 {
@@ -82,7 +85,7 @@
 		membership_log_dead(membership, peer, by);
 }
 
-/* Merges a sender's record of itself; its incarnation is the known one. */
+/* Merges a sender's record of itself, whose incarnation is already known. */
 static void membership_merge_sender(struct membership *membership,
 				    struct peer *peer,
 				    const struct member *record)
@@ -116,9 +119,9 @@
 }
 
 /*
- * Returns whether a peer may be live again. The table may have replaced lost
- * members of another region by others of it, and would hold too many of them if
- * all lost ones returned.
+ * Returns whether a peer is not dead or may become live again. Other members of
+ * its region may have taken the places of those that died: if all of these
+ * returned, the table would hold too many members of that region.
  */
 static bool membership_may_revive(const struct membership *membership,
 				  const struct peer *peer)
@@ -148,10 +151,10 @@
  * Merges the sender's own record in a message. Only a node itself can change
  * its incarnation: another node's record with an unknown incarnation may be
  * older than the known record. Returns the sender's peer, which the table owns.
- * Returns NULL if the sender is unknown and not added, may not become live
- * again, or has another incarnation without a live record of it. Also returns
- * NULL and sets replaced if the sender was replaced: its messages are to be
- * ignored.
+ * Returns NULL if the sender is unknown and not added, if it is dead and may
+ * not become live again, or if its incarnation is new and the message has no
+ * record of it that is not dead. Also returns NULL and sets replaced if a later
+ * incarnation has replaced the sender: its messages are to be ignored.
  */
 struct peer *membership_update_sender(struct membership *membership,
 				      const struct peer_message *message,
@@ -190,7 +193,7 @@
 void membership_refute(struct membership *membership,
 		       const struct member *record)
 {
-	const struct member *own = membership_own(membership);
+	const struct member *own = membership_own_record(membership);
 
 	if (record->incarnation != own->incarnation ||
 	    own->state == MEMBER_DEAD || record->version < own->version)
@@ -223,7 +226,7 @@
 				       const struct peer *sender,
 				       const struct member *record)
 {
-	const char *region = membership_own(membership)->region;
+	const char *region = membership_own_record(membership)->region;
 
 	if (!sender || strcmp(sender->member->region, record->region) != 0)
 		return false;
--- a/core/membership/membership_probe.c
+++ b/core/membership/membership_probe.c
@@ -25,7 +25,7 @@
 	return probe;
 }
 
-/* Probes for any node at an address; a missing answer has no effect. */
+/* Probes an address for whatever node is there; no answer has no effect. */
 void membership_probe_address(struct membership *membership,
 			      const char *address)
 {
@@ -134,8 +134,8 @@
 }
 
 /*
- * Requests indirect probes where the direct answer is late, and suspects the
- * members whose probes have failed.
+ * Requests indirect probes of the members whose direct answer is late, and
+ * suspects those whose probes have failed.
  */
 void membership_check_probes(struct membership *membership)
 {
@@ -167,7 +167,7 @@
 				  : 2 * membership->suspect_us;
 }
 
-/* Logs a member's death; by is the node that detected it, or the reason. */
+/* Logs that a member is dead; by is the node that showed it, or the reason. */
 void membership_log_dead(struct membership *membership, const struct peer *peer,
 			 const char *by)
 {
@@ -204,7 +204,11 @@
 	}
 }
 
-/* Probes suspects again in each heartbeat, so that they can refute it. */
+/*
+ * Probes suspected members again in each heartbeat, so that they can refute the
+ * suspicion. A suspicion that was only received gets probes in the second half
+ * of its timeout.
+ */
 void membership_probe_suspects(struct membership *membership)
 {
 	const GPtrArray *all = member_table_all(membership->table);
--- a/core/membership/membership_receive.c
+++ b/core/membership/membership_receive.c
@@ -74,7 +74,10 @@
 	membership_send(membership, message->from_address, ack);
 }
 
-/* Probes for another node, but only an address where a member is known. */
+/*
+ * Probes an address on behalf of the sender. Does nothing if no member is known
+ * at the address or MAX_RELAYS such probes are pending.
+ */
 static void membership_relay(struct membership *membership,
 			     const struct peer_message *message)
 {
@@ -98,7 +101,7 @@
 	membership_ping(membership, probe->address, probe->number, true);
 }
 
-/* Forwards an answer to the requester, with the subject's known record. */
+/* Forwards an answer to the requester with the record of the probed node. */
 static void membership_answer_relay(struct membership *membership,
 				    const struct probe *probe)
 {
@@ -132,7 +135,7 @@
 static void membership_handle_message(struct membership *membership,
 				      const struct peer_message *message)
 {
-	const struct member *own = membership_own(membership);
+	const struct member *own = membership_own_record(membership);
 	const struct peer *sender;
 	bool replaced;
 
--- a/core/membership/membership_state.h
+++ b/core/membership/membership_state.h
@@ -23,21 +23,21 @@
 #define MEMBERSHIP_REJOIN_HEARTBEATS 25
 
 enum probe_kind {
-	PROBE_MEMBER,  /* without an answer the member is suspected */
-	PROBE_ADDRESS, /* finds the node at an address, if any */
-	PROBE_RELAY    /* indirect probe for another node */
+	PROBE_MEMBER,  /* the member is suspected if no answer arrives */
+	PROBE_ADDRESS, /* learns which node is at an address, if any */
+	PROBE_RELAY    /* indirect probe on behalf of another node */
 };
 
 struct probe {
 	uint64_t number;
 	enum probe_kind kind;
-	uint64_t incarnation; /* PROBE_MEMBER: the probed one */
-	char *name;	      /* PROBE_MEMBER */
+	uint64_t incarnation; /* PROBE_MEMBER: of the probed member */
+	char *name;	      /* PROBE_MEMBER: of the probed member */
 	char *address;
 	char *requester; /* PROBE_RELAY: peer address */
 	uint64_t requester_number;
 	int64_t sent_us;
-	int64_t indirect_us; /* when to request indirect probes, or INT64_MAX */
+	int64_t indirect_us; /* time for indirect probes; INT64_MAX: none */
 	int64_t fail_us;
 };
 
@@ -62,11 +62,11 @@
 	int32_t rejoin_probes_left;
 	int32_t address_probes_left;
 	bool started;
-	bool announce;
+	bool announce_pending;	     /* the next step announces the own state */
 	struct action_list *actions; /* set during a call that takes actions */
 };
 
-/* Selects random members: of the own region, all others or one of them. */
+/* Which members to pick: of the own region, or of one or all other regions. */
 struct pick {
 	size_t max;
 	bool own_region;
@@ -75,7 +75,7 @@
 };
 
 /* membership_gossip.c */
-struct member *membership_own(const struct membership *membership);
+struct member *membership_own_record(const struct membership *membership);
 bool membership_is_self(const struct membership *membership,
 			const struct peer *peer);
 bool peer_is_answering(const struct peer *peer);
--- a/daemons/ctl_command.c
+++ b/daemons/ctl_command.c
@@ -233,9 +233,9 @@
 }
 
 /*
- * Returns the exit status for an answer. If the node does not know or does not
- * state whether a change took effect, the outcome is unknown and never counted
- * as refused.
+ * Returns the exit status for an answer. If the node does not know whether a
+ * change took effect, or answers with 200 or 5xx without stating it, the
+ * outcome is unknown and never counted as refused.
  */
 enum ctl_exit ctl_command_exit_status(const struct ctl_command *command,
 				      int status, const char *body)
--- a/daemons/gateway_wiring.c
+++ b/daemons/gateway_wiring.c
@@ -117,7 +117,7 @@
 
 static void on_reached_changed(void *data, bool is_reached)
 {
-	(void)is_reached; /* holds for one of the two followers only */
+	(void)is_reached; /* the state of only one of the two followers */
 	wiring_update_store_reached(data);
 }
 
@@ -150,7 +150,10 @@
 
 	if (!wiring->entries)
 		return;
-	/* With slow retries the node waits for a store that it lost. */
+	/*
+	 * With slow retries the node waits for a lost store: its entries then
+	 * do not come from other nodes, even if it does not watch them itself.
+	 */
 	wiring->entries_from_nodes = !watch->entries && !watch->retries_seldom;
 	store_follower_set_active(wiring->entries, watch->entries);
 	store_follower_set_probing(wiring->entries, watch->closely);
--- a/daemons/gateway_wiring.h
+++ b/daemons/gateway_wiring.h
@@ -24,7 +24,7 @@
 	const struct membership *(*members)(void *data);
 	struct peer_message *(*message)(void *data,
 					enum peer_message_type type);
-	/* Sends to all addresses (char *) and owns the message then. */
+	/* Sends a message, which it frees, to all addresses (char *). */
 	void (*send)(void *data, const GPtrArray *peer_addresses,
 		     struct peer_message *message);
 	void (*stopped)(void *data);
--- a/daemons/node_loop.c
+++ b/daemons/node_loop.c
@@ -28,7 +28,7 @@
 	peer_link_apply(loop->peers, action);
 }
 
-/* Without a key-value service no answer comes, which the node handles. */
+/* Drops the request without a key-value service; the node handles that. */
 static void apply_kv(struct node_loop *loop, const struct action *action)
 {
 	if (loop->kv)
@@ -53,7 +53,7 @@
 	log_write_action(loop->log, &action->log);
 }
 
-static gboolean loop_flush(gpointer data)
+static gboolean loop_check_flush(gpointer data)
 {
 	struct node_loop *loop = data;
 
@@ -66,8 +66,9 @@
 }
 
 /*
- * The core has stopped, but the last bytes of an answer may still be unsent:
- * if the process ended now, they would be lost.
+ * Ends the loop once all answers are sent or MAX_FLUSH_US has passed. When the
+ * core stops, the last bytes of an answer may still be unsent, and they would
+ * be lost if the process ended at once.
  */
 static void apply_stopped(struct node_loop *loop, const struct action *action)
 {
@@ -75,7 +76,8 @@
 	if (loop->flush_source)
 		return;
 	loop->flush_until_us = g_get_monotonic_time() + MAX_FLUSH_US;
-	loop->flush_source = g_timeout_add(FLUSH_CHECK_MS, loop_flush, loop);
+	loop->flush_source =
+		g_timeout_add(FLUSH_CHECK_MS, loop_check_flush, loop);
 }
 
 typedef void (*apply_function)(struct node_loop *loop,
@@ -169,7 +171,8 @@
 	loop_step(loop, event);
 }
 
-static gboolean loop_timer(GSource *source, GSourceFunc callback, gpointer data)
+static gboolean loop_on_timer(GSource *source, GSourceFunc callback,
+			      gpointer data)
 {
 	struct event event = {.type = EVENT_TIMER};
 
@@ -180,7 +183,7 @@
 }
 
 static GSourceFuncs timer_functions = {
-	.dispatch = loop_timer,
+	.dispatch = loop_on_timer,
 };
 
 /* Creates the timer that runs a step of the core when one is due. */
@@ -240,7 +243,7 @@
 	return LOG_LEVEL_INFO;
 }
 
-/* Returns the time of the file's last change in us; 0 if it has no status. */
+/* Returns the time of the file's last change in us; 0 if stat() fails. */
 int64_t node_loop_file_changed_us(const char *path)
 {
 	struct stat status;
--- a/daemons/node_loop_create.c
+++ b/daemons/node_loop_create.c
@@ -71,8 +71,8 @@
 		return false;
 	if (!*options.event_key) {
 		/*
-		 * With a key of its own, only this node can resume the
-		 * streams of its API.
+		 * No other node knows a random key, so only this node can
+		 * resume the streams of its API.
 		 */
 		g_snprintf(key, sizeof(key), "%016" G_GINT64_MODIFIER "x",
 			   options.seed);
@@ -171,8 +171,8 @@
 	return node_members(((struct node_loop *)data)->node);
 }
 
-static struct peer_message *loop_message(void *data,
-					 enum peer_message_type type)
+static struct peer_message *loop_create_message(void *data,
+						enum peer_message_type type)
 {
 	return node_message_create(((struct node_loop *)data)->node, type);
 }
@@ -196,7 +196,7 @@
 		.log = loop->log,
 		.counters = node_counters(loop->node),
 		.members = loop_members,
-		.message = loop_message,
+		.message = loop_create_message,
 		.send = loop_send,
 		.stopped = node_loop_gateway_stopped,
 		.data = loop,
