--- a/core/config/config.h
+++ b/core/config/config.h
@@ -22,8 +22,8 @@
 	char *address; /* host:port */
 	char *failure_domain;
 	char *region;
-	int64_t capacity_tokens; /* engines; 0: from the load report */
-	int32_t slots;		 /* plain endpoints: concurrent calls */
+	int64_t capacity_tokens; /* of engines; 0: from the load report */
+	int32_t slots;		 /* of plain endpoints: concurrent requests */
 	bool checks_fence;	 /* refuses orders with an old fencing number */
 	bool leaving;
 };
@@ -39,7 +39,7 @@
 };
 
 struct config_service {
-	char *name; /* of engines: the name of the model */
+	char *name; /* for engines, the name of their model */
 	enum service_kind kind;
 	GPtrArray *endpoints;	 /* struct config_endpoint */
 	int32_t max_connections; /* per endpoint, all nodes; 0: no limit */
@@ -50,11 +50,11 @@
 	char *name;
 	char *key_sha256;     /* hex digest of the bearer key */
 	GPtrArray *more_keys; /* char *: digests of further valid keys */
-	int32_t priority;     /* 0 lowest to 9 */
-	int32_t weight;	      /* relative share of the wait queue, from 1 */
+	int32_t priority;     /* from 0, the lowest, to 9 */
+	int32_t weight;	      /* relative share of the wait queue, at least 1 */
 	int32_t requests_per_s;
 	int64_t concurrent_tokens;
-	int32_t route_priority; /* 0 is the most urgent; -1: as the route */
+	int32_t route_priority; /* 0 is the most urgent; -1: the route's */
 };
 
 /* Size limits and timeouts of the requests that callers send to routes. */
@@ -72,7 +72,7 @@
 	char *target;	      /* model, adapter, version or role */
 	char *id;	      /* id of the plan that last set the rollout */
 	int32_t max_parallel; /* endpoints out of use at a time */
-	int32_t min_ready_percent; /* of the endpoints, kept in use */
+	int32_t min_ready_percent; /* share of endpoints kept in use */
 	int32_t max_failures;	   /* the rollout stops above this */
 };
 
@@ -101,7 +101,7 @@
 	GPtrArray *rollouts;	  /* struct config_rollout */
 	GPtrArray *routes;	  /* struct route */
 	struct caller_limits callers;
-	bool requires_keys; /* on routes that are not public */
+	bool requires_keys; /* routes that are not public require a key */
 	GPtrArray *history; /* struct config_confirmation, oldest first */
 };
 
--- a/core/config/config_check.c
+++ b/core/config/config_check.c
@@ -185,8 +185,8 @@
  * Checks that each name, endpoint address, key, service of a rollout, and pair
  * of host and path prefix occurs once. If two services shared an endpoint, two
  * independent books would place requests on it, and if two organisations shared
- * a key, one could act as the other. Otherwise returns false with ERROR_INVALID
- * for this step, which names the item.
+ * a key, one could act as the other. If one occurs twice, returns false with an
+ * ERROR_INVALID of this step that names it.
  */
 bool config_check_unique(const struct config *config, const char *step,
 			 struct error *error)
@@ -200,7 +200,7 @@
 /*
  * Checks a complete configuration: the rules of config_check_unique(), that the
  * services of all rollouts and routes exist, and that those of rollouts are of
- * kind generation. Errors are the same as there.
+ * kind generation. Errors are those of config_check_unique().
  */
 bool config_check(const struct config *config, const char *step,
 		  struct error *error)
--- a/core/config/config_format.c
+++ b/core/config/config_format.c
@@ -34,7 +34,7 @@
 	g_ptr_array_unref(sorted);
 }
 
-static void add_endpoint(JsonBuilder *builder, gconstpointer item)
+static void format_endpoint(JsonBuilder *builder, gconstpointer item)
 {
 	const struct config_endpoint *endpoint = item;
 
@@ -71,7 +71,7 @@
 	json_writer_add_if_true(builder, "can_back_up", engine->can_back_up);
 }
 
-static void add_service(JsonBuilder *builder, gconstpointer item)
+static void format_service(JsonBuilder *builder, gconstpointer item)
 {
 	const struct config_service *service = item;
 
@@ -81,7 +81,7 @@
 				 service_kind_name(service->kind));
 	format_capabilities(builder, service);
 	config_format_sorted_list(builder, "endpoints", service->endpoints,
-				  add_endpoint);
+				  format_endpoint);
 	json_builder_end_object(builder);
 }
 
@@ -96,7 +96,7 @@
 	json_builder_end_array(builder);
 }
 
-static void add_organisation(JsonBuilder *builder, gconstpointer item)
+static void format_organisation(JsonBuilder *builder, gconstpointer item)
 {
 	const struct config_organisation *organisation = item;
 
@@ -117,7 +117,7 @@
 	json_builder_end_object(builder);
 }
 
-static void add_rollout(JsonBuilder *builder, gconstpointer item)
+static void format_rollout(JsonBuilder *builder, gconstpointer item)
 {
 	const struct config_rollout *rollout = item;
 
@@ -136,7 +136,7 @@
 	json_builder_end_object(builder);
 }
 
-static void add_history(JsonBuilder *builder, const GPtrArray *history)
+static void format_history(JsonBuilder *builder, const GPtrArray *history)
 {
 	json_writer_begin_array(builder, "history");
 	for (guint i = 0; i < history->len; i++) {
@@ -166,15 +166,15 @@
 	json_writer_add_nonempty(builder, "plan_id", config->plan_id);
 	json_writer_add_nonempty(builder, "confirmed_by", config->confirmed_by);
 	config_format_sorted_list(builder, "services", config->services,
-				  add_service);
+				  format_service);
 	config_format_sorted_list(builder, "organisations",
-				  config->organisations, add_organisation);
+				  config->organisations, format_organisation);
 	config_format_sorted_list(builder, "rollouts", config->rollouts,
-				  add_rollout);
+				  format_rollout);
 	route_json_format(builder, config->routes);
 	if (memcmp(&config->callers, &caller_limits_default,
 		   sizeof(config->callers)) != 0)
 		caller_limits_json_format(builder, &config->callers);
-	add_history(builder, config->history);
+	format_history(builder, config->history);
 	json_builder_end_object(builder);
 }
--- a/core/config/route.c
+++ b/core/config/route.c
@@ -72,8 +72,9 @@
 }
 
 /*
- * Returns a service of the route, selected by weight with draw, a random number
- * from 0 up to 1. Returns NULL if no service has a weight above 0.
+ * Selects a service of the route in proportion to the weights. draw is a random
+ * number from 0 up to, but not including, 1. Returns NULL if no service has a
+ * weight above 0.
  */
 const char *route_pick_service(const struct route *route, double draw)
 {
--- a/core/config/route.h
+++ b/core/config/route.h
@@ -27,10 +27,10 @@
 	enum route_kind kind;
 	bool is_public;	      /* requires no key */
 	int32_t priority;     /* 0 is the most urgent */
-	int32_t max_attempts; /* endpoints that may run one request */
+	int32_t max_attempts; /* most endpoints that may run one request */
 	int64_t timeout_us;
-	int64_t first_answer_us;  /* first answer is due within; 0: not set */
-	int64_t longest_pause_us; /* between events; 0: not set */
+	int64_t first_answer_us; /* until the first answer is due; 0: not set */
+	int64_t longest_pause_us; /* between two events; 0: not set */
 	GArray *targets;	  /* struct route_target */
 };
 
--- a/core/json/json_reader.c
+++ b/core/json/json_reader.c
@@ -71,13 +71,13 @@
 }
 
 /*
- * Detects duplicate member names by comparing the number of members parsed with
- * the size of the finished object. The parser keeps only the last of two
- * members with the same name, so that a reviewer of the text and the process
- * could see different values.
+ * Connects handlers that detect duplicate member names: they compare the number
+ * of members parsed with the size of the finished object. The parser keeps only
+ * the last of two members with the same name, so that a reviewer of the text
+ * and the process could see different values.
  */
-static void json_reader_find_duplicates(JsonParser *parser,
-					struct member_counts *members)
+static void json_reader_connect_duplicate_check(JsonParser *parser,
+						struct member_counts *members)
 {
 	members->counts = g_hash_table_new(NULL, NULL);
 	g_signal_connect(parser, "object-member", G_CALLBACK(on_object_member),
@@ -96,7 +96,7 @@
 	JsonNode *root = NULL;
 
 	if (unique_members)
-		json_reader_find_duplicates(parser, &members);
+		json_reader_connect_duplicate_check(parser, &members);
 	if (!json_parser_load_from_data(parser, text, (gssize)size, &cause)) {
 		error_set(error, ERROR_INVALID, step, "", "not JSON: %s",
 			  cause->message);
@@ -115,9 +115,10 @@
 	return root;
 }
 
-static JsonNode *json_reader_check(GBytes *document, size_t max_bytes,
-				   bool unique_members, const char *step,
-				   struct error *error)
+static JsonNode *json_reader_check_and_load(GBytes *document, size_t max_bytes,
+					    bool unique_members,
+					    const char *step,
+					    struct error *error)
 {
 	size_t size = 0;
 	const char *text = g_bytes_get_data(document, &size);
@@ -151,7 +152,8 @@
 JsonNode *json_reader_parse(GBytes *document, size_t max_bytes,
 			    const char *step, struct error *error)
 {
-	return json_reader_check(document, max_bytes, true, step, error);
+	return json_reader_check_and_load(document, max_bytes, true, step,
+					  error);
 }
 
 /*
@@ -163,7 +165,8 @@
 JsonNode *json_reader_parse_event(GBytes *document, size_t max_bytes,
 				  const char *step, struct error *error)
 {
-	return json_reader_check(document, max_bytes, false, step, error);
+	return json_reader_check_and_load(document, max_bytes, false, step,
+					  error);
 }
 
 /*
--- a/core/plan/plan.c
+++ b/core/plan/plan.c
@@ -96,7 +96,7 @@
 struct removals {
 	const GPtrArray *names; /* char * */
 	const char *noun;	/* with its article, for messages */
-	const char *list;	/* key of the items in the intent */
+	const char *member;	/* member of the intent that sets such items */
 	bool (*has)(const struct config *config, const char *name);
 };
 
@@ -106,7 +106,7 @@
 	error_set(error, ERROR_INVALID, "plan.create", "",
 		  "remove_%s[%u]: expected the name of %s that is there and "
 		  "not also in \"%s\"",
-		  removals->list, i, removals->noun, removals->list);
+		  removals->member, i, removals->noun, removals->member);
 	return false;
 }
 
@@ -204,8 +204,9 @@
 }
 
 /*
- * Summary of a plan for the history: its first differences, cut off after 240
- * bytes, and the number of differences left out.
+ * Summarises a plan for the history: its first differences, as many as begin
+ * within 160 bytes and cut off after 240 bytes, and the number of differences
+ * left out.
  */
 static char *plan_summarise(const struct plan *plan)
 {
--- a/core/plan/plan.h
+++ b/core/plan/plan.h
@@ -29,16 +29,16 @@
  * confirmed.
  *
  * An intent is a JSON object with any of "services", "organisations",
- * "remove_services" and "remove_organisations". An item in it replaces the
- * existing item of the same name completely; the two are not merged. See
- * docs/API.md.
+ * "rollouts", "routes", the same names prefixed with "remove_", and "callers".
+ * An item in it replaces the existing item of the same name completely; the two
+ * are not merged. See docs/API.md.
  */
 struct plan {
 	char *id;
 	char *operator_name;
 	int64_t base_revision;
 	int64_t created_us;
-	int64_t keep_us;	/* valid that long after created_us; 0: unset */
+	int64_t keep_us;	/* stale this long after created_us; 0: unset */
 	GPtrArray *differences; /* char *: one line each */
 	GPtrArray *warnings;	/* char *: what the change would break */
 	GPtrArray *capacities;	/* struct plan_capacity: one per service */
--- a/core/plan/plan_answer.c
+++ b/core/plan/plan_answer.c
@@ -34,7 +34,7 @@
 			      "too many confirmers wait for this plan"},
 };
 
-/* Name of an effect, as written in "took_effect". Static string. */
+/* Returns the name of an effect, as written in "took_effect". */
 const char *plan_effect_name(enum plan_effect effect)
 {
 	switch (effect) {
@@ -48,7 +48,7 @@
 	return "unknown";
 }
 
-/* Name of a code, as written in answers and logs. Static string. */
+/* Returns the name of a code, as written in answers and logs. */
 const char *plan_answer_code_name(enum plan_answer_code code)
 {
 	return answers[code].code;
--- a/core/plan/plan_book.c
+++ b/core/plan/plan_book.c
@@ -45,7 +45,7 @@
 	memset(options, 0, sizeof(*options));
 	options->node_name = "";
 	options->keep_us = 300 * G_USEC_PER_SEC;
-	options->settle_us = 8 * G_USEC_PER_SEC;
+	options->confirm_timeout_us = 8 * G_USEC_PER_SEC;
 	options->kv_timeout_us = 2 * G_USEC_PER_SEC;
 	options->max_plans = 32;
 	options->max_bytes = 8 * 1024 * 1024;
@@ -364,7 +364,8 @@
  * Confirms a plan. The plan takes effect at most once, however many requests
  * and operators confirm it. in_force is the configuration in force at this
  * node, or NULL. It is checked before the key-value service is contacted, so
- * that plans already decided there are also answered in an outage.
+ * that a plan whose outcome it shows is answered even during an outage of that
+ * service.
  */
 void plan_book_confirm(struct plan_book *book, uint64_t call,
 		       const char *plan_id, const char *operator_name,
@@ -423,7 +424,7 @@
 				actions);
 }
 
-/* Time at which plan_book_step() is next due; INT64_MAX: none. */
+/* Returns the time at which plan_book_step() is next due, or INT64_MAX. */
 int64_t plan_book_next_due_us(const struct plan_book *book)
 {
 	int64_t due_us = INT64_MAX;
--- a/core/plan/plan_book.h
+++ b/core/plan/plan_book.h
@@ -26,11 +26,11 @@
 struct plan_book_options {
 	const char *node_name;
 	uint64_t incarnation;
-	uint64_t seed;		   /* of the jitter between writes */
+	uint64_t seed;		   /* for the jitter of repeated writes */
 	uint64_t *next_kv_id;	   /* shared with the node's other requests */
 	struct counters *counters; /* may be NULL */
-	int64_t keep_us;   /* time within which a plan can be confirmed */
-	int64_t settle_us; /* longest wait of a confirm request */
+	int64_t keep_us; /* time within which a plan can be confirmed */
+	int64_t confirm_timeout_us; /* longest wait of a confirm request */
 	int64_t kv_timeout_us;
 	int32_t max_plans;
 	int64_t max_bytes; /* total size of the documents of all plans */
--- a/core/plan/plan_describe.h
+++ b/core/plan/plan_describe.h
@@ -6,8 +6,8 @@
 G_BEGIN_DECLS
 
 /*
- * Describes in lines of text for operators what a plan changes, and which
- * requests and how much capacity are lost by it.
+ * Describes for operators, in lines of text, what a plan changes, which
+ * requests will fail because of it and how much capacity is lost.
  */
 void plan_add_line(GPtrArray *lines, const char *format, ...)
 	G_GNUC_PRINTF(2, 3);
--- a/core/plan/plan_entry.c
+++ b/core/plan/plan_entry.c
@@ -97,16 +97,17 @@
 			plan_answer_code_name(code), NULL);
 }
 
-static void record_applied(struct plan_entry *entry, int64_t revision,
-			   struct action_list *actions)
+static void resolve_as_applied(struct plan_entry *entry, int64_t revision,
+			       struct action_list *actions)
 {
 	entry->state = PLAN_TOOK_EFFECT;
 	entry->revision = revision;
 	answer_waiting_calls(entry, PLAN_ANSWER_DONE, actions);
 }
 
-static void record_rejected(struct plan_entry *entry, int64_t current_revision,
-			    struct action_list *actions)
+static void resolve_as_rejected(struct plan_entry *entry,
+				int64_t current_revision,
+				struct action_list *actions)
 {
 	entry->state = PLAN_REJECTED;
 	entry->current_revision = current_revision;
@@ -114,9 +115,9 @@
 }
 
 /*
- * Looks the plan up in a configuration, which may be NULL, and answers the
- * waiting calls if that shows whether the plan took effect. Returns whether it
- * does.
+ * Looks the plan up in a configuration, which may be NULL. If the configuration
+ * shows whether the plan took effect, answers the waiting calls and returns
+ * true.
  */
 static bool resolve_from_config(struct plan_entry *entry,
 				const struct config *config,
@@ -130,10 +131,10 @@
 					entry->plan->base_revision,
 					&revision)) {
 	case PLAN_EFFECT_YES:
-		record_applied(entry, revision, actions);
+		resolve_as_applied(entry, revision, actions);
 		return true;
 	case PLAN_EFFECT_NO:
-		record_rejected(entry, config->revision, actions);
+		resolve_as_rejected(entry, config->revision, actions);
 		return true;
 	case PLAN_EFFECT_UNKNOWN:
 		break;
@@ -162,7 +163,7 @@
 {
 	entry->state = PLAN_CONFIRMING;
 	entry->backoff_steps = 0;
-	entry->deadline_us = now_us + entry->options->settle_us;
+	entry->deadline_us = now_us + entry->options->confirm_timeout_us;
 	g_array_append_val(entry->waiting_calls, call);
 	if (!entry->kv_id)
 		send_write(entry, actions);
@@ -217,7 +218,10 @@
 	}
 }
 
-/* Ends a confirmation without an outcome; the next one continues from here. */
+/*
+ * Ends the attempt to confirm a plan before its outcome is known. A later
+ * confirm request starts from the state set here.
+ */
 static void stop_confirming(struct plan_entry *entry)
 {
 	entry->state = entry->write_in_doubt ? PLAN_IN_DOUBT : PLAN_UNCONFIRMED;
@@ -280,7 +284,7 @@
 
 	entry->current_revision = found ? found->mod_revision : 0;
 	if (!entry->write_in_doubt) {
-		record_rejected(entry, entry->current_revision, actions);
+		resolve_as_rejected(entry, entry->current_revision, actions);
 		return;
 	}
 	if (found)
@@ -297,8 +301,8 @@
  * Confirms a plan for a call, which is answered now or by a later event. The
  * plan is applied at most once, no matter how many operators confirm it and
  * how often. in_force is the configuration in force at this node, or NULL. It
- * is read before anything is written, so that a plan whose outcome it shows
- * gets its answer during an outage of the key-value store too, and a plan whose
+ * is checked before anything is written: a plan whose outcome it shows is
+ * answered even during an outage of the key-value service, and a plan whose
  * base revision has been replaced is refused without a write.
  */
 void plan_entry_confirm(struct plan_entry *entry, uint64_t call,
@@ -321,7 +325,7 @@
 		return;
 	switch (answer->outcome) {
 	case KV_OK:
-		record_applied(entry, answer->revision, actions);
+		resolve_as_applied(entry, answer->revision, actions);
 		break;
 	case KV_CONFLICT:
 		resolve_conflict(entry, answer, actions);
--- a/core/rollout/rollout.c
+++ b/core/rollout/rollout.c
@@ -11,7 +11,7 @@
 	g_free(endpoint);
 }
 
-static gint compare_endpoints(gconstpointer a, gconstpointer b)
+static gint compare_batch_order(gconstpointer a, gconstpointer b)
 {
 	const struct rollout_endpoint *const *left = a;
 	const struct rollout_endpoint *const *right = b;
@@ -68,7 +68,7 @@
 		endpoint->checks_fence = spec->checks_fence;
 		g_ptr_array_add(rollout->endpoints, endpoint);
 	}
-	g_ptr_array_sort(rollout->endpoints, compare_endpoints);
+	g_ptr_array_sort(rollout->endpoints, compare_batch_order);
 	rollout_state_init(&rollout->state);
 	return rollout;
 }
@@ -167,10 +167,11 @@
 };
 
 /*
- * Other nodes keep avoiding an endpoint for a while after it was put back into
- * use, since the announcement that it is leaving is repeated and may outlast
- * the one that it is back. Until then it counts as out of use; otherwise
- * successive batches would add up until no endpoint of the service was used.
+ * Returns whether other nodes may still avoid an endpoint that was put back
+ * into use. The announcement that it was leaving is repeated, so it can reach
+ * them after the announcement that it is back. Such an endpoint counts as out
+ * of use; otherwise successive batches would add up until no endpoint of the
+ * service was used.
  */
 static bool is_returning(const struct rollout_endpoint *endpoint,
 			 int64_t now_us)
@@ -214,8 +215,9 @@
 }
 
 /*
- * Returns how many endpoints may be taken out of use now, given the number that
- * must stay in use. The result may be negative.
+ * Returns how many endpoints the next batch may take out of use: at most
+ * max_parallel, and so few that min_ready_percent of all stay in use. The
+ * result may be negative.
  */
 static int32_t batch_limit(const struct rollout *rollout,
 			   const struct rollout_counts *counts)
@@ -298,8 +300,9 @@
 }
 
 /*
- * Puts back into use the endpoints that this node took out and discards its
- * state, because another node may hold the key now or the rollout is to end.
+ * Puts back into use the endpoints that this node took out and discards this
+ * node's state of the rollout, because another node may hold the key now or the
+ * rollout is to end.
  */
 void rollout_reset(struct rollout *rollout, int64_t now_us, GArray *effects)
 {
@@ -346,7 +349,7 @@
  * Schedules the first read of each endpoint. The reads are spaced out, since a
  * service may have a thousand endpoints.
  */
-static void rollout_begin_reading(struct rollout *rollout, int64_t now_us)
+static void rollout_schedule_reads(struct rollout *rollout, int64_t now_us)
 {
 	for (guint i = 0; i < rollout->endpoints->len; i++)
 		rollout_endpoint_set_state(
@@ -371,7 +374,7 @@
 	if (!rollout->fence) {
 		rollout->fence = fence;
 		rollout->held_since_us = now_us;
-		rollout_begin_reading(rollout, now_us);
+		rollout_schedule_reads(rollout, now_us);
 	}
 	rollout_store_step(rollout, now_us, actions);
 	if (!rollout->loaded)
--- a/core/rollout/rollout.h
+++ b/core/rollout/rollout.h
@@ -15,7 +15,7 @@
 /*
  * Carries out one confirmed rollout while this node holds the key. It takes
  * endpoints out of use in batches within one failure domain, waits for their
- * streams to finish, orders the new target, reads the endpoints until they run
+ * requests to finish, orders the new target, reads the endpoints until they run
  * it and puts them back into use. What each endpoint runs is read from the
  * endpoint, so a new holder can continue; only the phase, the reason for a stop
  * and the failed endpoints are stored.
@@ -33,27 +33,27 @@
 };
 
 struct rollout_options {
-	const char *id; /* of the plan that confirmed the rollout */
+	const char *id; /* of the plan that last set the rollout */
 	const char *target;
 	const struct rollout_endpoint_spec *endpoints; /* copied */
 	size_t endpoint_count;
 	int32_t max_parallel;	   /* endpoints out of use at once */
 	int32_t min_ready_percent; /* of all endpoints, kept in use */
-	int32_t max_failures;	   /* stops when exceeded */
+	int32_t max_failures;	   /* the rollout stops above this */
 
 	uint64_t *next_kv_id;
 	struct counters *counters; /* may be NULL */
 	int64_t kv_timeout_us;
 	int64_t order_timeout_us; /* longest time an order is in flight */
-	/* Between orders: limits the load on the weight store. */
+	/* Time between two orders; limits the load on the weight store. */
 	int64_t order_interval_us;
 	int64_t read_interval_us;
-	/* From taking out or putting back until all nodes know. */
+	/* Time until all nodes know that an endpoint is taken out or back. */
 	int64_t take_out_propagation_us;
 	int64_t put_back_propagation_us;
 	int64_t drain_timeout_us;
 	int64_t load_timeout_us;
-	int64_t verify_interval_us; /* after the end, between two reads */
+	int64_t verify_interval_us; /* time between two reads after the end */
 };
 
 enum rollout_effect_type {
--- a/core/rollout/rollout_endpoint.c
+++ b/core/rollout/rollout_endpoint.c
@@ -35,9 +35,10 @@
 }
 
 /*
- * Marks an endpoint as failed. The failure is stored before the next batch
- * begins, so that the limit on failures holds across a change of holder. The
- * endpoint is then kept out of use, since it is uncertain what it runs.
+ * Marks an endpoint as failed and stops the rollout if more than max_failures
+ * endpoints have failed. The failure is stored before the next batch begins, so
+ * that the limit holds across a change of holder. The endpoint is then kept out
+ * of use, since it is uncertain what it runs.
  */
 static void rollout_fail_endpoint(struct rollout *rollout,
 				  struct rollout_endpoint *endpoint,
@@ -67,12 +68,13 @@
 
 /*
  * Returns whether an order may be sent. The lease must outlast the order. The
- * previous holder may have sent its last order just as its lease ended, so for
- * an endpoint that does not check the fencing number, the first order waits
- * until that one must have arrived.
+ * previous holder may have sent its last order just as its lease ended, so if
+ * the endpoint does not check the fencing number, this holder's first order
+ * waits until that last order can no longer be in flight.
  */
-static bool may_order(const struct rollout *rollout,
-		      const struct rollout_endpoint *endpoint, int64_t now_us)
+static bool may_send_order(const struct rollout *rollout,
+			   const struct rollout_endpoint *endpoint,
+			   int64_t now_us)
 {
 	if (now_us < rollout->next_order_us ||
 	    !holder_may_act(rollout->holder, now_us,
@@ -108,7 +110,7 @@
 			  GArray *effects)
 {
 	if (endpoint->drained) {
-		if (may_order(rollout, endpoint, now_us))
+		if (may_send_order(rollout, endpoint, now_us))
 			send_order(rollout, endpoint, now_us, effects);
 	} else if (now_us - endpoint->state_since_us >=
 		   rollout->options.drain_timeout_us) {
@@ -129,7 +131,7 @@
 
 	switch (endpoint->state) {
 	case ENDPOINT_UNREAD:
-		if (waited_us >= ROLLOUT_READS_UNTIL_LOST *
+		if (waited_us >= ROLLOUT_READS_UNTIL_UNREACHABLE *
 					 rollout->options.read_interval_us)
 			rollout_fail_endpoint(rollout, endpoint,
 					      "cannot be reached", now_us);
@@ -212,10 +214,12 @@
 }
 
 /*
- * Handles a reading in which the endpoint does not run the target. If that was
- * ordered before, the order was lost, or a late order of an earlier holder
- * arrived after it. The target is ordered again, with at most
- * ROLLOUT_MAX_ORDERS orders in one batch.
+ * Handles a reading in which the endpoint does not run the target. If the
+ * target was ordered before, that order was lost, or a late order of an earlier
+ * holder arrived after it: the target is ordered again, with at most
+ * ROLLOUT_MAX_ORDERS orders in one batch. A draining endpoint has drained once
+ * it runs no requests and all nodes know that it is out of use. An endpoint
+ * that was unread or ready waits for a batch.
  */
 static void handle_other_target(struct rollout *rollout,
 				struct rollout_endpoint *endpoint,
@@ -279,7 +283,8 @@
 
 /*
  * Handles the outcome of an order. If the answer was lost, reading the endpoint
- * back shows whether the order took effect.
+ * back shows whether the order took effect. An order that the endpoint refused
+ * for its old fencing number shows that this node no longer holds the key.
  */
 void rollout_handle_order(struct rollout *rollout,
 			  const struct event_order *order, int64_t now_us)
--- a/core/rollout/rollout_internal.h
+++ b/core/rollout/rollout_internal.h
@@ -16,7 +16,7 @@
 
 enum {
 	ROLLOUT_MAX_ORDERS = 3,
-	ROLLOUT_READS_UNTIL_LOST = 10,
+	ROLLOUT_READS_UNTIL_UNREACHABLE = 10,
 	ROLLOUT_READ_SPACING_US = 10 * 1000,
 	ROLLOUT_STORE_RETRY_US = G_USEC_PER_SEC
 };
@@ -38,9 +38,9 @@
 	enum endpoint_state state;
 	int64_t state_since_us; /* when it entered the state */
 	int64_t next_read_us;	/* when it is next read */
-	bool drained;		/* has no requests: may be ordered */
+	bool drained;		/* runs no requests; may get the order */
 	bool out_of_use;
-	int64_t returning_until_us; /* some nodes may avoid it until then */
+	int64_t returning_until_us; /* other nodes may avoid it until then */
 	int orders_sent;
 };
 
@@ -53,9 +53,9 @@
 	GPtrArray *endpoints; /* struct rollout_endpoint, sorted by domain */
 
 	int64_t last_step_us; /* time of the last rollout_step() */
-	int64_t fence;	      /* the fields below belong to it; 0: none */
+	int64_t fence; /* under which the fields below hold; 0: not holder */
 	int64_t held_since_us;
-	int64_t batches_from_us; /* no batch begins before */
+	int64_t batches_from_us; /* no batch begins before this time */
 	int64_t next_order_us;
 	int64_t next_verify_us;
 	size_t next_verify_index;
--- a/core/rollout/rollout_json.c
+++ b/core/rollout/rollout_json.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-enum { MAX_BYTES = 1 << 20, MAX_REASON_BYTES = 256 };
+enum { MAX_STATE_BYTES = 1 << 20, MAX_REASON_BYTES = 256 };
 
 static const char *const phase_names[] = {
 	[ROLLOUT_RUNNING] = "running",
@@ -72,8 +72,8 @@
 			struct error *error)
 {
 	static const char *const names[] = {"phase", "failed", "reason", NULL};
-	JsonNode *root =
-		json_reader_parse(document, MAX_BYTES, "rollout.parse", error);
+	JsonNode *root = json_reader_parse(document, MAX_STATE_BYTES,
+					   "rollout.parse", error);
 	struct json_fields fields;
 	bool ok = root && json_fields_begin(&fields, root, "rollout.parse",
 					    error, "%s", "");
--- a/core/rollout/rollout_store.c
+++ b/core/rollout/rollout_store.c
@@ -54,7 +54,8 @@
 
 /*
  * Merges the state that an earlier holder stored. The failures of both holders
- * count, and a rollout that has stopped stays stopped.
+ * count, and a rollout that has stopped stays stopped. A state that cannot be
+ * parsed stops the rollout.
  */
 static void merge_stored(struct rollout *rollout, const struct kv_entry *entry,
 			 int64_t now_us)
@@ -110,7 +111,7 @@
 
 /*
  * Handles the answer to a read or write of the stored state. Returns false if
- * the answer belongs to another caller. After a lost answer or a conflict, the
+ * the answer belongs to another request. After a lost answer or a conflict, the
  * state is read again, and written again if it still differs.
  */
 bool rollout_handle_kv(struct rollout *rollout, const struct kv_answer *answer,
