--- a/adapters/gateway/exchange_move.c
+++ b/adapters/gateway/exchange_move.c
@@ -187,13 +187,14 @@
 
 	exchange_fill_criteria(exchange, &wish);
 	wish.avoid_id = exchange->leg->endpoint_id;
-	wish.failure_domain = leg_endpoint(exchange->leg)->said->failure_domain;
+	wish.failure_domain =
+		leg_endpoint(exchange->leg)->last_registration->failure_domain;
 	wish.far_weight = OTHER_DOMAIN_WEIGHT;
 	target = endpoint_choose_for_move(gateway->registry, &wish);
 	if (!target)
 		return;
-	move->target_id = g_strdup(target->said->id);
-	move->target_address = g_strdup(target->said->address);
+	move->target_id = g_strdup(target->last_registration->id);
+	move->target_address = g_strdup(target->last_registration->address);
 	move->target_known_us = target->known_us;
 	move->body = g_byte_array_new();
 	move->tokens = exchange->leg->tokens;
--- a/adapters/gateway/exchange_recover.c
+++ b/adapters/gateway/exchange_recover.c
@@ -227,7 +227,8 @@
 	enum recovery recovery = recovery_decide(&input);
 
 	log_failure(exchange, &input,
-		    input.copy_is_ready ? place->endpoint->said->id : "",
+		    input.copy_is_ready ? place->endpoint->last_registration->id
+					: "",
 		    recovery, detail);
 	if (recovery == RECOVERY_SEND_AGAIN || recovery == RECOVERY_TAKE_OVER)
 		retry_window_take(budget);
@@ -255,8 +256,8 @@
 	g_snprintf(held, sizeof(held), "%" G_GINT64_FORMAT, all.tokens);
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "run_taken_over",
 		  "request", exchange->asked.id, "from",
-		  exchange->leg->endpoint_id, "to", to->said->id, "reason",
-		  reason, "run_ms", run_ms, "held_tokens", held,
+		  exchange->leg->endpoint_id, "to", to->last_registration->id,
+		  "reason", reason, "run_ms", run_ms, "held_tokens", held,
 		  "unread_tokens", unread, NULL);
 	counters_add(exchange->gateway->options.counters,
 		     COUNTER_GATEWAY_TAKE_OVERS, 1);
@@ -410,7 +411,8 @@
 		exchange_move_continue(exchange);
 		break;
 	case EVACUATION_ASK_BACKUP:
-		exchange_hand_over(exchange, backup, backup->said->address,
+		exchange_hand_over(exchange, backup,
+				   backup->last_registration->address,
 				   exchange->asked.id, "leaving");
 		break;
 	case EVACUATION_RELEASE_OLD:
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -171,10 +171,10 @@
 				const struct endpoint *endpoint)
 {
 	const struct config_service *service =
-		gateway->table
-			? route_table_find_service(gateway->table,
-						   endpoint->said->service)
-			: NULL;
+		gateway->table ? route_table_find_service(
+					 gateway->table,
+					 endpoint->last_registration->service)
+			       : NULL;
 
 	return service && service->kind == SERVICE_GENERATION;
 }
--- a/adapters/gateway/gateway_home.c
+++ b/adapters/gateway/gateway_home.c
@@ -173,7 +173,7 @@
 
 	*backup = NULL;
 	if (endpoint && choose->wants_backup) {
-		wish.avoid_id = endpoint->said->id;
+		wish.avoid_id = endpoint->last_registration->id;
 		*backup = endpoint_choose_backup(gateway->registry, &wish);
 	}
 	return endpoint;
@@ -202,16 +202,18 @@
 	endpoint = choose_for(gateway, choose, service, &backup);
 	answer = gateway->host.message(gateway->host.data, PEER_CHOSEN);
 	answer->chosen.number = choose->number;
-	answer->chosen.endpoint = g_strdup(endpoint ? endpoint->said->id : "");
-	answer->chosen.backup = g_strdup(backup ? backup->said->id : "");
+	answer->chosen.endpoint =
+		g_strdup(endpoint ? endpoint->last_registration->id : "");
+	answer->chosen.backup =
+		g_strdup(backup ? backup->last_registration->id : "");
 	gateway_send(gateway, message->from_address, answer);
 	if (!endpoint)
 		return;
 	grant = (struct engine_grant){
 		.node = message->from,
 		.number = choose->number,
-		.endpoint_id = endpoint->said->id,
-		.backup_id = backup ? backup->said->id : NULL,
+		.endpoint_id = endpoint->last_registration->id,
+		.backup_id = backup ? backup->last_registration->id : NULL,
 		.tokens = choose->tokens,
 		.prompt_tokens = choose->prompt_tokens,
 	};
--- a/adapters/gateway/gateway_peers.c
+++ b/adapters/gateway/gateway_peers.c
@@ -88,7 +88,7 @@
 
 	if (endpoint->presence == PRESENCE_DOUBTED)
 		return;
-	said = registration_copy(endpoint->said);
+	said = registration_copy(endpoint->last_registration);
 	said->is_removed = endpoint->presence == PRESENCE_GONE;
 	g_ptr_array_add(standing->registrations, said);
 }
@@ -177,11 +177,12 @@
 		registry_find(gateway->registry, endpoint_id);
 	char aside[24];
 
-	if (!endpoint || !endpoint_suspicion_add_notice(
-				 &endpoint->word, reporter, gateway->now_us))
+	if (!endpoint ||
+	    !endpoint_suspicion_add_notice(&endpoint->suspicion, reporter,
+					   gateway->now_us))
 		return;
 	g_snprintf(aside, sizeof(aside), "%" G_GINT64_FORMAT,
-		   endpoint->word.aside_us / 1000);
+		   endpoint->suspicion.aside_us / 1000);
 	log_write(gateway->log, LOG_LEVEL_INFO, "endpoint_aside", "endpoint",
 		  endpoint_id, "for_ms", aside, NULL);
 }
--- a/adapters/gateway/gateway_store.c
+++ b/adapters/gateway/gateway_store.c
@@ -40,11 +40,12 @@
 	if (endpoint->presence == PRESENCE_DOUBTED)
 		doubt = gateway_doubt_cause(gateway);
 	g_snprintf(revision, sizeof(revision), "%" G_GINT64_FORMAT,
-		   endpoint->said->revision);
+		   endpoint->last_registration->revision);
 	log_write(gateway->log, LOG_LEVEL_INFO, "endpoint", "endpoint", id,
-		  "service", endpoint->said->service, "address",
-		  endpoint->said->address, "state", names[endpoint->presence],
-		  "revision", revision, "source", source, "doubt", doubt, NULL);
+		  "service", endpoint->last_registration->service, "address",
+		  endpoint->last_registration->address, "state",
+		  names[endpoint->presence], "revision", revision, "source",
+		  source, "doubt", doubt, NULL);
 }
 
 /*
--- a/adapters/gateway/leg.c
+++ b/adapters/gateway/leg.c
@@ -138,8 +138,8 @@
 	g_clear_pointer(&exchange->home_backup_id, g_free);
 	if (!backup)
 		return;
-	leg->backup_id = g_strdup(backup->said->id);
-	leg->backup_address = g_strdup(backup->said->address);
+	leg->backup_id = g_strdup(backup->last_registration->id);
+	leg->backup_address = g_strdup(backup->last_registration->address);
 	leg->backup_known_us = backup->known_us;
 }
 
@@ -153,8 +153,8 @@
 	struct leg *leg = g_new0(struct leg, 1);
 
 	leg->exchange = exchange;
-	leg->endpoint_id = g_strdup(endpoint->said->id);
-	leg->endpoint_address = g_strdup(endpoint->said->address);
+	leg->endpoint_id = g_strdup(endpoint->last_registration->id);
+	leg->endpoint_address = g_strdup(endpoint->last_registration->address);
 	leg->tokens = exchange_held_tokens(exchange);
 	leg->sent_us = exchange->gateway->now_us;
 	leg->is_takeover = copy_address != NULL;
--- a/adapters/gateway/report_poll.c
+++ b/adapters/gateway/report_poll.c
@@ -117,14 +117,14 @@
 {
 	struct poll_request *poll_request = g_new0(struct poll_request, 1);
 	struct attempt_options options = {
-		.address = endpoint->said->address,
+		.address = endpoint->last_registration->address,
 		.request = g_string_new(NULL),
 		.now_us = now_us,
 	};
 	struct error error;
 
 	poll_request->poll = poll;
-	poll_request->endpoint_id = g_strdup(endpoint->said->id);
+	poll_request->endpoint_id = g_strdup(endpoint->last_registration->id);
 	poll_request->body = g_byte_array_new();
 	poll_request->sent_us = now_us;
 	poll->dialect->write_report_request(options.address, options.request);
@@ -159,7 +159,8 @@
 		const struct endpoint *endpoint =
 			g_ptr_array_index(endpoints, i);
 
-		if (!g_hash_table_contains(poll->requests, endpoint->said->id))
+		if (!g_hash_table_contains(poll->requests,
+					   endpoint->last_registration->id))
 			poll_send_request(poll, endpoint, now_us);
 	}
 }
--- a/bench/fleet_server.c
+++ b/bench/fleet_server.c
@@ -32,7 +32,7 @@
 		struct fleet_server *server =
 			g_ptr_array_index(fleet->servers, i);
 
-		if (strcmp(server->id, endpoint->said->id) == 0)
+		if (strcmp(server->id, endpoint->last_registration->id) == 0)
 			return server;
 	}
 	return NULL;
--- a/core/gateway/endpoint_choice.c
+++ b/core/gateway/endpoint_choice.c
@@ -56,17 +56,19 @@
 {
 	for (guint i = 0; criteria->avoid && i < criteria->avoid->len; i++) {
 		if (strcmp(g_ptr_array_index(criteria->avoid, i),
-			   endpoint->said->id) == 0)
+			   endpoint->last_registration->id) == 0)
 			return true;
 	}
-	return g_strcmp0(criteria->avoid_id, endpoint->said->id) == 0;
+	return g_strcmp0(criteria->avoid_id, endpoint->last_registration->id) ==
+	       0;
 }
 
 static bool is_candidate(const struct endpoint_criteria *criteria,
 			 const struct endpoint *endpoint)
 {
 	return endpoint_is_usable(endpoint) &&
-	       strcmp(endpoint->said->service, criteria->service) == 0 &&
+	       strcmp(endpoint->last_registration->service,
+		      criteria->service) == 0 &&
 	       !is_avoided(criteria, endpoint);
 }
 
@@ -133,14 +135,15 @@
 		const struct endpoint *endpoint =
 			g_ptr_array_index(endpoints, i);
 
-		if (strcmp(endpoint->said->service, criteria->service) != 0)
+		if (strcmp(endpoint->last_registration->service,
+			   criteria->service) != 0)
 			continue;
 		if (!endpoint_is_usable(endpoint)) {
 			leaving_tokens += running_tokens(endpoint);
 			continue;
 		}
 		usable++;
-		aside += !endpoint_suspicion_allows(&endpoint->word,
+		aside += !endpoint_suspicion_allows(&endpoint->suspicion,
 						    criteria->now_us);
 	}
 	return (struct summary){
@@ -156,13 +159,14 @@
 {
 	return endpoint_health_allows(&endpoint->health) &&
 	       (!summary->use_notices ||
-		endpoint_suspicion_allows(&endpoint->word, criteria->now_us));
+		endpoint_suspicion_allows(&endpoint->suspicion,
+					  criteria->now_us));
 }
 
 static double slot_count(const struct endpoint_criteria *criteria,
 			 const struct endpoint *endpoint)
 {
-	int32_t slots = endpoint->said->slots;
+	int32_t slots = endpoint->last_registration->slots;
 
 	if (slots == 0 && criteria->engine)
 		slots = criteria->engine->slots;
@@ -192,7 +196,8 @@
 		       SLOT_WEIGHT * slot_load(criteria, endpoint);
 	double draw = criteria->draw * (double)(i + 1);
 
-	if (g_strcmp0(endpoint->said->failure_domain, criteria->failure_domain))
+	if (g_strcmp0(endpoint->last_registration->failure_domain,
+		      criteria->failure_domain))
 		score += MAX(criteria->far_weight, FAR_WEIGHT);
 	if (endpoint->warm_us > criteria->now_us)
 		score += COLD_WEIGHT;
--- a/core/gateway/registry.c
+++ b/core/gateway/registry.c
@@ -14,7 +14,7 @@
 {
 	struct endpoint *endpoint = data;
 
-	registration_destroy(endpoint->said);
+	registration_destroy(endpoint->last_registration);
 	g_free(endpoint);
 }
 
@@ -121,7 +121,8 @@
 			g_ptr_array_index(registry->endpoints, i);
 
 		count += endpoint_is_usable(endpoint) &&
-			 strcmp(endpoint->said->service, service) == 0;
+			 strcmp(endpoint->last_registration->service,
+				service) == 0;
 	}
 	return count;
 }
@@ -154,13 +155,14 @@
 	struct endpoint *endpoint = g_new0(struct endpoint, 1);
 
 	endpoint->key = endpoint_key(update->id);
-	endpoint->said = registration_copy(update);
+	endpoint->last_registration = registration_copy(update);
 	endpoint->since_us = now_us;
 	endpoint->known_us = now_us;
 	endpoint->warm_us = now_us + update->warmup_remaining_us;
 	endpoint_health_init(&endpoint->health);
 	g_ptr_array_add(registry->endpoints, endpoint);
-	g_hash_table_insert(registry->by_id, endpoint->said->id, endpoint);
+	g_hash_table_insert(registry->by_id, endpoint->last_registration->id,
+			    endpoint);
 	registry_add_key(registry, endpoint);
 	return endpoint;
 }
@@ -169,10 +171,11 @@
 					  struct endpoint *endpoint,
 					  const struct registration *update)
 {
-	g_hash_table_steal(registry->by_id, endpoint->said->id);
-	registration_destroy(endpoint->said);
-	endpoint->said = registration_copy(update);
-	g_hash_table_insert(registry->by_id, endpoint->said->id, endpoint);
+	g_hash_table_steal(registry->by_id, endpoint->last_registration->id);
+	registration_destroy(endpoint->last_registration);
+	endpoint->last_registration = registration_copy(update);
+	g_hash_table_insert(registry->by_id, endpoint->last_registration->id,
+			    endpoint);
 }
 
 /*
@@ -183,7 +186,7 @@
 			     const struct registration *update, int64_t now_us)
 {
 	endpoint_health_init(&endpoint->health);
-	endpoint->word = (struct endpoint_suspicion){0};
+	endpoint->suspicion = (struct endpoint_suspicion){0};
 	endpoint->known_us = now_us;
 	endpoint->full_until_us = 0;
 	endpoint->warm_us = now_us + update->warmup_remaining_us;
@@ -209,7 +212,8 @@
 			     bool is_doubtful)
 {
 	return endpoint->presence == PRESENCE_DOUBTED && update->is_removed &&
-	       !is_doubtful && update->revision == endpoint->said->revision;
+	       !is_doubtful &&
+	       update->revision == endpoint->last_registration->revision;
 }
 
 /*
@@ -225,13 +229,14 @@
 	struct endpoint *endpoint = registry_find(registry, update->id);
 	enum endpoint_presence old_presence;
 
-	if (endpoint && update->revision <= endpoint->said->revision &&
+	if (endpoint &&
+	    update->revision <= endpoint->last_registration->revision &&
 	    !confirms_removal(endpoint, update, is_doubtful))
 		return false;
 	if (update->is_removed) {
 		if (!endpoint)
 			return false;
-		endpoint->said->revision = update->revision;
+		endpoint->last_registration->revision = update->revision;
 		return registry_apply_removal(endpoint, is_doubtful, now_us);
 	}
 	if (!endpoint) {
@@ -243,8 +248,8 @@
 		return true;
 	}
 	old_presence = endpoint->presence;
-	if (update->started_ms > endpoint->said->started_ms ||
-	    strcmp(update->address, endpoint->said->address) != 0)
+	if (update->started_ms > endpoint->last_registration->started_ms ||
+	    strcmp(update->address, endpoint->last_registration->address) != 0)
 		endpoint_restart(endpoint, update, now_us);
 	endpoint_replace_registration(registry, endpoint, update);
 	endpoint_set_presence(
@@ -295,13 +300,16 @@
 		struct endpoint *endpoint =
 			g_ptr_array_index(registry->endpoints, i);
 
-		if (endpoint->said->revision > revision ||
+		if (endpoint->last_registration->revision > revision ||
 		    endpoint->presence == PRESENCE_GONE ||
-		    g_hash_table_contains(listed, endpoint->said->id))
+		    g_hash_table_contains(listed,
+					  endpoint->last_registration->id))
 			continue;
-		endpoint->said->revision = revision;
+		endpoint->last_registration->revision = revision;
 		if (registry_apply_removal(endpoint, is_doubtful, now_us))
-			g_ptr_array_add(changed, g_strdup(endpoint->said->id));
+			g_ptr_array_add(
+				changed,
+				g_strdup(endpoint->last_registration->id));
 	}
 	g_hash_table_unref(listed);
 }
@@ -319,7 +327,7 @@
 	struct endpoint *endpoint =
 		g_ptr_array_index(registry->endpoints, index);
 
-	g_hash_table_remove(registry->by_id, endpoint->said->id);
+	g_hash_table_remove(registry->by_id, endpoint->last_registration->id);
 	if (g_hash_table_lookup(registry->by_key, &endpoint->key) == endpoint)
 		g_hash_table_remove(registry->by_key, &endpoint->key);
 	g_ptr_array_remove_index(registry->endpoints, index);
@@ -342,7 +350,9 @@
 		if (endpoint->presence == PRESENCE_DOUBTED &&
 		    endpoint->since_us <= doubted_before_us) {
 			endpoint_set_presence(endpoint, PRESENCE_GONE, now_us);
-			g_ptr_array_add(changed, g_strdup(endpoint->said->id));
+			g_ptr_array_add(
+				changed,
+				g_strdup(endpoint->last_registration->id));
 		}
 		if (endpoint->presence == PRESENCE_GONE &&
 		    endpoint->own.requests == 0 && endpoint->own.copies == 0 &&
--- a/core/gateway/registry.h
+++ b/core/gateway/registry.h
@@ -35,7 +35,7 @@
 
 struct endpoint {
 	uint64_t key; /* endpoint_key() of its id */
-	struct registration *said;
+	struct registration *last_registration;
 	enum endpoint_presence presence;
 	int64_t since_us;    /* when the presence last changed */
 	int64_t known_us;    /* when its current start was first seen */
@@ -43,8 +43,8 @@
 	struct held own;     /* load of this node */
 	struct held others;  /* announced by all other nodes */
 	struct held granted; /* granted by this node, unconfirmed */
-	struct endpoint_health health;	/* by requests of this node */
-	struct endpoint_suspicion word; /* by notices of all nodes */
+	struct endpoint_health health;	     /* by requests of this node */
+	struct endpoint_suspicion suspicion; /* by notices of all nodes */
 	int64_t full_until_us; /* it refused a request for lack of room */
 	double error_share;    /* of its last answers, moving average */
 };
--- a/tests/endpoint_choice_test.cc
+++ b/tests/endpoint_choice_test.cc
@@ -60,7 +60,7 @@
 	{
 		struct endpoint *found = endpoint_choose(registry, &criteria);
 
-		return found ? found->said->id : "none";
+		return found ? found->last_registration->id : "none";
 	}
 
 	std::string backup()
@@ -68,7 +68,7 @@
 		struct endpoint *found =
 			endpoint_choose_backup(registry, &criteria);
 
-		return found ? found->said->id : "none";
+		return found ? found->last_registration->id : "none";
 	}
 };
 
@@ -116,8 +116,8 @@
 	add("full", 21000, 6);
 	EXPECT_EQ(nullptr, endpoint_choose_for_move(registry, &criteria));
 	add("new", 3000, 1);
-	EXPECT_STREQ("new",
-		     endpoint_choose_for_move(registry, &criteria)->said->id);
+	EXPECT_STREQ("new", endpoint_choose_for_move(registry, &criteria)
+				    ->last_registration->id);
 }
 
 TEST_F(EndpointChoice, KeepsBackupsOnlyWhereThereIsRoomToSpare)
@@ -214,8 +214,8 @@
 
 	add("good", 20000, 6);
 	EXPECT_EQ("broken", choose());
-	endpoint_suspicion_add_notice(&broken->word, 2, criteria.now_us);
-	endpoint_suspicion_add_notice(&broken->word, 3, criteria.now_us);
+	endpoint_suspicion_add_notice(&broken->suspicion, 2, criteria.now_us);
+	endpoint_suspicion_add_notice(&broken->suspicion, 3, criteria.now_us);
 	EXPECT_EQ("good", choose());
 }
 
@@ -230,9 +230,9 @@
 	for (const char *id : {"one", "two", "three", "four"}) {
 		struct endpoint *endpoint = add(id, 9000, 3);
 
-		endpoint_suspicion_add_notice(&endpoint->word, 2,
+		endpoint_suspicion_add_notice(&endpoint->suspicion, 2,
 					      criteria.now_us);
-		endpoint_suspicion_add_notice(&endpoint->word, 3,
+		endpoint_suspicion_add_notice(&endpoint->suspicion, 3,
 					      criteria.now_us);
 	}
 	EXPECT_NE("none", backup());
--- a/tests/engine_grants_test.cc
+++ b/tests/engine_grants_test.cc
@@ -62,11 +62,11 @@
 		endpoint = endpoint_choose(registry, &criteria);
 		grant.node = node;
 		grant.number = number;
-		grant.endpoint_id = endpoint->said->id;
+		grant.endpoint_id = endpoint->last_registration->id;
 		grant.tokens = criteria.tokens;
 		grant.prompt_tokens = kPromptTokens;
 		engine_grants_add(grants, &grant, now_us);
-		return endpoint->said->id;
+		return endpoint->last_registration->id;
 	}
 
 	int64_t Unread(const std::string &id)
