--- a/adapters/gateway/exchange.c
+++ b/adapters/gateway/exchange.c
@@ -149,11 +149,11 @@
 
 /* Fills the criteria by which endpoint_choose selects for this request. */
 void exchange_fill_criteria(const struct exchange *exchange,
-			    struct endpoint_criteria *wish)
+			    struct endpoint_criteria *criteria)
 {
 	struct gateway *gateway = exchange->gateway;
 
-	*wish = (struct endpoint_criteria){
+	*criteria = (struct endpoint_criteria){
 		.service = exchange->service_name,
 		.engine = exchange->service ? &exchange->service->engine : NULL,
 		.failure_domain = gateway->options.failure_domain,
@@ -221,11 +221,12 @@
 /* Sends the request to the endpoint that this node selects itself. */
 void exchange_send_local_choice(struct exchange *exchange)
 {
-	struct endpoint_criteria wish;
+	struct endpoint_criteria criteria;
 
-	exchange_fill_criteria(exchange, &wish);
+	exchange_fill_criteria(exchange, &criteria);
 	exchange_send_or_refuse(
-		exchange, endpoint_choose(exchange->gateway->registry, &wish));
+		exchange,
+		endpoint_choose(exchange->gateway->registry, &criteria));
 }
 
 /* Sends the request to an endpoint that the home or this node selects. */
--- a/adapters/gateway/exchange_move.c
+++ b/adapters/gateway/exchange_move.c
@@ -182,15 +182,15 @@
 {
 	struct gateway *gateway = exchange->gateway;
 	struct move *move = &exchange->move;
-	struct endpoint_criteria wish;
+	struct endpoint_criteria criteria;
 	struct endpoint *target;
 
-	exchange_fill_criteria(exchange, &wish);
-	wish.avoid_id = exchange->leg->endpoint_id;
-	wish.failure_domain =
+	exchange_fill_criteria(exchange, &criteria);
+	criteria.avoid_id = exchange->leg->endpoint_id;
+	criteria.failure_domain =
 		leg_endpoint(exchange->leg)->last_registration->failure_domain;
-	wish.far_weight = OTHER_DOMAIN_WEIGHT;
-	target = endpoint_choose_for_move(gateway->registry, &wish);
+	criteria.far_weight = OTHER_DOMAIN_WEIGHT;
+	target = endpoint_choose_for_move(gateway->registry, &criteria);
 	if (!target)
 		return;
 	move->target_id = g_strdup(target->last_registration->id);
--- a/adapters/gateway/exchange_state.h
+++ b/adapters/gateway/exchange_state.h
@@ -118,7 +118,7 @@
 		  const char *reason);
 bool exchange_is_generation(const struct exchange *exchange);
 void exchange_fill_criteria(const struct exchange *exchange,
-			    struct endpoint_criteria *wish);
+			    struct endpoint_criteria *criteria);
 void exchange_send_new(struct exchange *exchange);
 void exchange_send_local_choice(struct exchange *exchange);
 void exchange_send_or_refuse(struct exchange *exchange,
--- a/adapters/gateway/gateway_home.c
+++ b/adapters/gateway/gateway_home.c
@@ -160,7 +160,7 @@
 				   const struct config_service *service,
 				   struct endpoint **backup)
 {
-	struct endpoint_criteria wish = {
+	struct endpoint_criteria criteria = {
 		.service = choose->service,
 		.engine = &service->engine,
 		.failure_domain = choose->failure_domain,
@@ -169,12 +169,13 @@
 		.now_us = gateway->now_us,
 		.draw = g_rand_double(gateway->random),
 	};
-	struct endpoint *endpoint = endpoint_choose(gateway->registry, &wish);
+	struct endpoint *endpoint =
+		endpoint_choose(gateway->registry, &criteria);
 
 	*backup = NULL;
 	if (endpoint && choose->wants_backup) {
-		wish.avoid_id = endpoint->last_registration->id;
-		*backup = endpoint_choose_backup(gateway->registry, &wish);
+		criteria.avoid_id = endpoint->last_registration->id;
+		*backup = endpoint_choose_backup(gateway->registry, &criteria);
 	}
 	return endpoint;
 }
--- a/adapters/gateway/leg.c
+++ b/adapters/gateway/leg.c
@@ -117,13 +117,13 @@
 static struct endpoint *leg_pick_backup(const struct leg *leg)
 {
 	struct exchange *exchange = leg->exchange;
-	struct endpoint_criteria wish;
+	struct endpoint_criteria criteria;
 
 	if (exchange->home_backup_id)
 		return leg_find_home_backup(leg);
-	exchange_fill_criteria(exchange, &wish);
-	wish.avoid_id = leg->endpoint_id;
-	return endpoint_choose_backup(exchange->gateway->registry, &wish);
+	exchange_fill_criteria(exchange, &criteria);
+	criteria.avoid_id = leg->endpoint_id;
+	return endpoint_choose_backup(exchange->gateway->registry, &criteria);
 }
 
 /* Selects the engine that keeps a copy while the leg's endpoint runs it. */
--- a/bench/registry_bench.c
+++ b/bench/registry_bench.c
@@ -50,7 +50,7 @@
 {
 	const struct engine_capabilities engine = {.slots = 24,
 						   .memory_tokens = 34000};
-	struct endpoint_criteria wish = {
+	struct endpoint_criteria criteria = {
 		.service = "engines",
 		.engine = &engine,
 		.failure_domain = "a",
@@ -60,8 +60,8 @@
 	int64_t started_us = g_get_monotonic_time();
 
 	for (int i = 0; i < CHOICES; i++) {
-		wish.draw = (double)i / CHOICES;
-		endpoint_choose(registry, &wish);
+		criteria.draw = (double)i / CHOICES;
+		endpoint_choose(registry, &criteria);
 	}
 	return (double)(g_get_monotonic_time() - started_us) / CHOICES;
 }
