--- a/adapters/gateway/exchange.c
+++ b/adapters/gateway/exchange.c
@@ -167,7 +167,7 @@
 static void exchange_log_placed(const struct exchange *exchange,
 				const struct endpoint *endpoint)
 {
-	const struct held held = endpoint_held(endpoint);
+	const struct held held = endpoint_total_load(endpoint);
 	const int64_t values[] = {exchange->leg->tokens, held.requests,
 				  held.copies, held.tokens, held.unread_tokens};
 	char numbers[G_N_ELEMENTS(values)][24];
--- a/adapters/gateway/exchange_move.c
+++ b/adapters/gateway/exchange_move.c
@@ -43,7 +43,7 @@
 
 	if (target)
 		g_snprintf(held, sizeof(held), "%" G_GINT64_FORMAT,
-			   endpoint_held(target).tokens);
+			   endpoint_total_load(target).tokens);
 	g_snprintf(status, sizeof(status), "%d", exchange->move.status);
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "move_failed",
 		  "request", exchange->asked.id, "from",
--- a/adapters/gateway/exchange_recover.c
+++ b/adapters/gateway/exchange_recover.c
@@ -246,7 +246,7 @@
 static void log_take_over(const struct exchange *exchange,
 			  const struct endpoint *to, const char *reason)
 {
-	const struct held all = endpoint_held(to);
+	const struct held all = endpoint_total_load(to);
 	char unread[24], held[24], run_ms[24];
 
 	g_snprintf(run_ms, sizeof(run_ms), "%" G_GINT64_FORMAT,
--- a/core/gateway/endpoint_choice.c
+++ b/core/gateway/endpoint_choice.c
@@ -87,7 +87,7 @@
 /* Tokens of the requests that run there, without backup copies. */
 static double running_tokens(const struct endpoint *endpoint)
 {
-	const struct held held = endpoint_held(endpoint);
+	const struct held held = endpoint_total_load(endpoint);
 
 	if (held.requests <= 0)
 		return 0;
@@ -176,7 +176,7 @@
 static double slot_load(const struct endpoint_criteria *criteria,
 			const struct endpoint *endpoint)
 {
-	return endpoint_held(endpoint).requests /
+	return endpoint_total_load(endpoint).requests /
 	       slot_count(criteria, endpoint);
 }
 
@@ -185,7 +185,8 @@
 {
 	if (!criteria->engine || criteria->engine->memory_tokens == 0)
 		return 0;
-	return (double)(endpoint_held(endpoint).tokens + criteria->tokens) /
+	return (double)(endpoint_total_load(endpoint).tokens +
+			criteria->tokens) /
 	       (double)criteria->engine->memory_tokens;
 }
 
@@ -202,7 +203,7 @@
 	if (endpoint->warm_us > criteria->now_us)
 		score += COLD_WEIGHT;
 	score += ERROR_WEIGHT * endpoint->error_share;
-	score += (double)endpoint_held(endpoint).unread_tokens /
+	score += (double)endpoint_total_load(endpoint).unread_tokens /
 		 UNREAD_FULL_TOKENS;
 	return score + DRAW_WEIGHT * (draw - (double)(int64_t)draw);
 }
--- a/core/gateway/registry.c
+++ b/core/gateway/registry.c
@@ -73,7 +73,7 @@
 }
 
 /* Returns the load of all nodes on the endpoint, as far as this node knows. */
-struct held endpoint_held(const struct endpoint *endpoint)
+struct held endpoint_total_load(const struct endpoint *endpoint)
 {
 	struct held held = endpoint->own;
 
@@ -96,7 +96,7 @@
 /* Whether the endpoint has requests, of any node, without an answer so far. */
 bool endpoint_has_unread_prompts(const struct endpoint *endpoint)
 {
-	return endpoint_held(endpoint).unread_tokens > 0;
+	return endpoint_total_load(endpoint).unread_tokens > 0;
 }
 
 /* Whether any endpoint of any service may get new requests. */
--- a/core/gateway/registry.h
+++ b/core/gateway/registry.h
@@ -77,7 +77,7 @@
 			    uint64_t incarnation, const GArray *held,
 			    int64_t now_us);
 void registry_expire_nodes(struct registry *registry, int64_t before_us);
-struct held endpoint_held(const struct endpoint *endpoint);
+struct held endpoint_total_load(const struct endpoint *endpoint);
 bool endpoint_is_usable(const struct endpoint *endpoint);
 bool endpoint_is_same_start(const struct endpoint *endpoint, int64_t known_us);
 bool endpoint_has_unread_prompts(const struct endpoint *endpoint);
--- a/tests/engine_grants_test.cc
+++ b/tests/engine_grants_test.cc
@@ -71,7 +71,7 @@
 
 	int64_t Unread(const std::string &id)
 	{
-		return endpoint_held(registry_find(registry, id.c_str()))
+		return endpoint_total_load(registry_find(registry, id.c_str()))
 			.unread_tokens;
 	}
 
