--- a/core/gateway/engine_grants.c
+++ b/core/gateway/engine_grants.c
@@ -103,17 +103,18 @@
 }
 
 /*
- * Removes the node's grants up to the request with number answered: the load
- * that the node announces includes them now, so they would count twice.
+ * Removes the node's grants up to the request with number answered_up_to: the
+ * load that the node announces includes them now, so they would count twice.
  */
 void engine_grants_confirm(struct engine_grants *grants, const char *node,
-			   uint64_t answered)
+			   uint64_t answered_up_to)
 {
 	for (guint i = grants->entries->len; i-- > 0;) {
 		const struct entry *entry =
 			g_ptr_array_index(grants->entries, i);
 
-		if (entry->number <= answered && strcmp(entry->node, node) == 0)
+		if (entry->number <= answered_up_to &&
+		    strcmp(entry->node, node) == 0)
 			entry_remove(grants, i);
 	}
 }
--- a/core/gateway/engine_grants.h
+++ b/core/gateway/engine_grants.h
@@ -35,7 +35,7 @@
 void engine_grants_add(struct engine_grants *grants,
 		       const struct engine_grant *grant, int64_t now_us);
 void engine_grants_confirm(struct engine_grants *grants, const char *node,
-			   uint64_t answered);
+			   uint64_t answered_up_to);
 void engine_grants_expire(struct engine_grants *grants, int64_t now_us);
 
 G_END_DECLS
