--- a/adapters/gateway/exchange.c
+++ b/adapters/gateway/exchange.c
@@ -37,7 +37,7 @@
 	g_byte_array_unref(exchange->answer_body);
 	if (exchange->answer_head)
 		g_string_free(exchange->answer_head, TRUE);
-	g_ptr_array_unref(exchange->tried);
+	g_ptr_array_unref(exchange->avoided_ids);
 	route_table_unref(exchange->table);
 	g_free(exchange);
 }
@@ -65,7 +65,9 @@
 		g_snprintf(numbers[i], sizeof(numbers[i]), "%" G_GINT64_FORMAT,
 			   values[i]);
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "request_end",
-		  "request", exchange->asked.id ? exchange->asked.id : "",
+		  "request",
+		  exchange->parsed_request.id ? exchange->parsed_request.id
+					      : "",
 		  "route", exchange->route ? exchange->route->name : "",
 		  "organisation",
 		  exchange->organisation ? exchange->organisation->name : "",
@@ -99,10 +101,10 @@
 	GString *fields = g_string_new(NULL);
 
 	exchange->status = status;
-	if (exchange->asked.id)
+	if (exchange->parsed_request.id)
 		g_string_append_printf(fields, "%s: %s\r\n",
 				       exchange->gateway->dialect->id_field,
-				       exchange->asked.id);
+				       exchange->parsed_request.id);
 	if (retry_after_us >= 0)
 		g_string_append_printf(fields, "Retry-After: %.2f\r\n",
 				       (double)retry_after_us / G_USEC_PER_SEC);
@@ -157,7 +159,7 @@
 		.service = exchange->service_name,
 		.engine = exchange->service ? &exchange->service->engine : NULL,
 		.failure_domain = gateway->options.failure_domain,
-		.avoid = exchange->tried,
+		.avoid = exchange->avoided_ids,
 		.tokens = exchange_held_tokens(exchange),
 		.now_us = gateway->now_us,
 		.draw = g_rand_double(gateway->random),
@@ -176,7 +178,7 @@
 		g_snprintf(numbers[i], sizeof(numbers[i]), "%" G_GINT64_FORMAT,
 			   values[i]);
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "request_placed",
-		  "request", exchange->asked.id, "endpoint",
+		  "request", exchange->parsed_request.id, "endpoint",
 		  exchange->leg->endpoint_id, "backup",
 		  exchange->leg->backup_id ? exchange->leg->backup_id : "",
 		  "tokens", numbers[0], "held_requests", numbers[1],
@@ -251,9 +253,9 @@
 {
 	struct gateway *gateway = exchange->gateway;
 
-	if (exchange->asked.key)
+	if (exchange->parsed_request.key)
 		exchange->organisation = route_table_find_organisation(
-			exchange->table, exchange->asked.key);
+			exchange->table, exchange->parsed_request.key);
 	if (exchange->organisation || exchange->route->is_public ||
 	    !route_table_requires_keys(exchange->table))
 		return true;
@@ -279,8 +281,9 @@
 		return false;
 	}
 	exchange->table = route_table_ref(gateway->table);
-	exchange->route = route_table_find(
-		exchange->table, exchange->asked.host, exchange->head->target);
+	exchange->route =
+		route_table_find(exchange->table, exchange->parsed_request.host,
+				 exchange->head->target);
 	if (exchange->route)
 		return exchange_authorise(exchange);
 	if (gateway_is_current(gateway))
@@ -292,16 +295,16 @@
 
 static int64_t exchange_estimate_tokens(const struct exchange *exchange)
 {
-	const struct caller_request *asked = &exchange->asked;
-	int64_t expected = asked->expected_tokens;
+	const struct caller_request *request = &exchange->parsed_request;
+	int64_t expected = request->expected_tokens;
 
 	if (!exchange_is_generation(exchange))
 		return 0;
 	if (expected == 0)
 		expected = (int64_t)(DEFAULT_LENGTH_SHARE *
-				     (double)asked->max_tokens);
-	if (asked->max_tokens > 0)
-		expected = MIN(expected, asked->max_tokens);
+				     (double)request->max_tokens);
+	if (request->max_tokens > 0)
+		expected = MIN(expected, request->max_tokens);
 	return MAX(expected, 1);
 }
 
@@ -309,8 +312,9 @@
 {
 	int64_t patience_us = exchange->route->timeout_us;
 
-	if (exchange->asked.patience_us > 0)
-		patience_us = MIN(patience_us, exchange->asked.patience_us);
+	if (exchange->parsed_request.patience_us > 0)
+		patience_us =
+			MIN(patience_us, exchange->parsed_request.patience_us);
 	exchange->deadline_us = exchange->begun_us + patience_us;
 }
 
@@ -390,12 +394,13 @@
 	exchange->body = body;
 	exchange->begun_us = gateway->now_us;
 	exchange->last_event = -1;
-	exchange->tried = g_ptr_array_new_with_free_func(g_free);
+	exchange->avoided_ids = g_ptr_array_new_with_free_func(g_free);
 	exchange->answer_body = g_byte_array_new();
 	g_hash_table_add(gateway->exchanges, exchange);
 	caller_attach_request(caller, exchange);
 	counters_add(gateway->options.counters, COUNTER_GATEWAY_REQUESTS, 1);
-	if (!gateway->dialect->read_request(head, &exchange->asked, &error)) {
+	if (!gateway->dialect->read_request(head, &exchange->parsed_request,
+					    &error)) {
 		exchange_refuse(exchange, 400, -1, error.detail);
 		return;
 	}
--- a/adapters/gateway/exchange_answer.c
+++ b/adapters/gateway/exchange_answer.c
@@ -91,8 +91,9 @@
 	g_snprintf(event, sizeof(event), "%" G_GINT64_FORMAT,
 		   exchange->last_event);
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "run_goes_on",
-		  "request", exchange->asked.id, "endpoint", leg->endpoint_id,
-		  "event", event, "pause_ms", pause, "sent_ms", sent, NULL);
+		  "request", exchange->parsed_request.id, "endpoint",
+		  leg->endpoint_id, "event", event, "pause_ms", pause,
+		  "sent_ms", sent, NULL);
 }
 
 /* The tokens counted for a generation grow with its output. */
--- a/adapters/gateway/exchange_move.c
+++ b/adapters/gateway/exchange_move.c
@@ -46,11 +46,12 @@
 			   endpoint_total_load(target).tokens);
 	g_snprintf(status, sizeof(status), "%d", exchange->move.status);
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "move_failed",
-		  "request", exchange->asked.id, "from",
+		  "request", exchange->parsed_request.id, "from",
 		  exchange->leg->endpoint_id, "to", exchange->move.target_id,
 		  "held_tokens", held, "status", status, "reason", reason,
 		  NULL);
-	g_ptr_array_add(exchange->tried, g_strdup(exchange->move.target_id));
+	g_ptr_array_add(exchange->avoided_ids,
+			g_strdup(exchange->move.target_id));
 	exchange_move_clear(exchange);
 	exchange->move.since_us = exchange->gateway->now_us;
 	exchange->move.failures++;
@@ -107,7 +108,7 @@
 	move->state = COPY_COMPLETE;
 	move->handle = handle;
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "move_whole",
-		  "request", exchange->asked.id, "from",
+		  "request", exchange->parsed_request.id, "from",
 		  exchange->leg->endpoint_id, "to", move->target_id, NULL);
 }
 
@@ -147,7 +148,7 @@
 	g_snprintf(tokens, sizeof(tokens), "%" G_GINT64_FORMAT,
 		   exchange->move.tokens);
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "move_begun",
-		  "request", exchange->asked.id, "from",
+		  "request", exchange->parsed_request.id, "from",
 		  exchange->leg->endpoint_id, "to", exchange->move.target_id,
 		  "tokens", tokens, NULL);
 }
@@ -164,8 +165,8 @@
 	struct error error;
 
 	gateway->dialect->write_move_request(
-		options.address, exchange->asked.id, move->target_address,
-		options.request);
+		options.address, exchange->parsed_request.id,
+		move->target_address, options.request);
 	attempt_destroy(g_steal_pointer(&move->call));
 	move->state = COPY_IN_PROGRESS;
 	move->since_us = gateway->now_us;
--- a/adapters/gateway/exchange_recover.c
+++ b/adapters/gateway/exchange_recover.c
@@ -128,7 +128,7 @@
 	case EVACUATION_FROM_BACKUP:
 		place.endpoint = leg_backup(exchange->leg);
 		place.address = g_strdup(exchange->leg->backup_address);
-		place.handle = g_strdup(exchange->asked.id);
+		place.handle = g_strdup(exchange->parsed_request.id);
 		break;
 	case EVACUATION_FROM_NOTHING:
 		break;
@@ -198,8 +198,9 @@
 	g_snprintf(ms, sizeof(ms), "%" G_GINT64_FORMAT,
 		   (exchange->gateway->now_us - leg->sent_us) / 1000);
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "attempt_failed",
-		  "request", exchange->asked.id, "endpoint", leg->endpoint_id,
-		  "result", attempt_result_name(input->result), "decision",
+		  "request", exchange->parsed_request.id, "endpoint",
+		  leg->endpoint_id, "result",
+		  attempt_result_name(input->result), "decision",
 		  recovery_name(recovery), "begun",
 		  input->answer_begun ? "yes" : "no", "copy", copy_id, "budget",
 		  input->budget_left ? "yes" : "no", "sends", sends, "status",
@@ -237,7 +238,8 @@
 
 static void drop_leg(struct exchange *exchange)
 {
-	g_ptr_array_add(exchange->tried, g_strdup(exchange->leg->endpoint_id));
+	g_ptr_array_add(exchange->avoided_ids,
+			g_strdup(exchange->leg->endpoint_id));
 	exchange_move_clear(exchange);
 	exchange->move.failures = 0;
 	leg_destroy(g_steal_pointer(&exchange->leg));
@@ -255,7 +257,7 @@
 		   all.unread_tokens);
 	g_snprintf(held, sizeof(held), "%" G_GINT64_FORMAT, all.tokens);
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "run_taken_over",
-		  "request", exchange->asked.id, "from",
+		  "request", exchange->parsed_request.id, "from",
 		  exchange->leg->endpoint_id, "to", to->last_registration->id,
 		  "reason", reason, "run_ms", run_ms, "held_tokens", held,
 		  "unread_tokens", unread, NULL);
@@ -358,10 +360,11 @@
 void exchange_drop_next(struct exchange *exchange, const char *reason)
 {
 	log_write(exchange->gateway->log, LOG_LEVEL_INFO, "take_over_failed",
-		  "request", exchange->asked.id, "to",
+		  "request", exchange->parsed_request.id, "to",
 		  exchange->next->endpoint_id, "reason", reason, NULL);
 	exchange->copy_failed = true;
-	g_ptr_array_add(exchange->tried, g_strdup(exchange->next->endpoint_id));
+	g_ptr_array_add(exchange->avoided_ids,
+			g_strdup(exchange->next->endpoint_id));
 	leg_destroy(g_steal_pointer(&exchange->next));
 }
 
@@ -413,7 +416,7 @@
 	case EVACUATION_ASK_BACKUP:
 		exchange_hand_over(exchange, backup,
 				   backup->last_registration->address,
-				   exchange->asked.id, "leaving");
+				   exchange->parsed_request.id, "leaving");
 		break;
 	case EVACUATION_RELEASE_OLD:
 		exchange_promote_next(exchange);
--- a/adapters/gateway/exchange_state.h
+++ b/adapters/gateway/exchange_state.h
@@ -59,7 +59,7 @@
 	struct caller *caller;
 	struct http_head *head;
 	GByteArray *body;
-	struct caller_request asked;
+	struct caller_request parsed_request;
 	struct route_table *table;
 	const struct route *route;
 	const struct config_organisation *organisation;
@@ -69,14 +69,14 @@
 	int64_t deadline_us;
 	int64_t expected_tokens; /* of the answer; 0: no generation */
 
-	uint64_t question;	   /* id of the request to the home; 0: none */
+	uint64_t home_request_id;  /* 0: none waits for an answer */
 	int64_t home_requested_us; /* when it was sent */
 	char *home_backup_id;	   /* from the home, for the next leg */
 
 	struct leg *leg;  /* NULL between two dispatches */
 	struct leg *next; /* takes over while leg still runs, or NULL */
 	struct move move;
-	GPtrArray *tried; /* char *: ids of endpoints to avoid */
+	GPtrArray *avoided_ids; /* char *: ids of endpoints to avoid */
 	int32_t runs;
 	int32_t sends;
 	int32_t take_overs;
--- a/adapters/gateway/gateway_home.c
+++ b/adapters/gateway/gateway_home.c
@@ -62,11 +62,12 @@
 	choose->service = g_strdup(exchange->service_name);
 	choose->failure_domain = g_strdup(gateway->options.failure_domain);
 	choose->tokens = exchange_held_tokens(exchange);
-	choose->prompt_tokens = exchange->asked.prompt_tokens;
+	choose->prompt_tokens = exchange->parsed_request.prompt_tokens;
 	choose->wants_backup = exchange_wants_backup(exchange);
-	for (guint i = 0; i < exchange->tried->len; i++)
-		g_ptr_array_add(choose->avoid, g_strdup(g_ptr_array_index(
-						       exchange->tried, i)));
+	for (guint i = 0; i < exchange->avoided_ids->len; i++)
+		g_ptr_array_add(
+			choose->avoid,
+			g_strdup(g_ptr_array_index(exchange->avoided_ids, i)));
 	return message;
 }
 
@@ -85,12 +86,12 @@
 	if (!home)
 		return false;
 	set_home_address(gateway, home);
-	exchange->question = ++gateway->home_request_count;
+	exchange->home_request_id = ++gateway->home_request_count;
 	exchange->home_requested_us = gateway->now_us;
-	g_hash_table_insert(gateway->home_requests, &exchange->question,
+	g_hash_table_insert(gateway->home_requests, &exchange->home_request_id,
 			    exchange);
 	gateway_send(gateway, home->peer_address,
-		     home_request_create(exchange, exchange->question));
+		     home_request_create(exchange, exchange->home_request_id));
 	counters_add(gateway->options.counters, COUNTER_GATEWAY_HOME_ASKED, 1);
 	return true;
 }
@@ -98,11 +99,11 @@
 /* Stops waiting for the home's answer, if the exchange waits for one. */
 void exchange_cancel_home_request(struct exchange *exchange)
 {
-	if (!exchange->question)
+	if (!exchange->home_request_id)
 		return;
 	g_hash_table_remove(exchange->gateway->home_requests,
-			    &exchange->question);
-	exchange->question = 0;
+			    &exchange->home_request_id);
+	exchange->home_request_id = 0;
 }
 
 /* Chooses an engine locally once the home's answer has timed out. */
@@ -223,7 +224,7 @@
 
 static bool is_tried(const struct exchange *exchange, const char *id)
 {
-	return g_ptr_array_find_with_equal_func(exchange->tried, id,
+	return g_ptr_array_find_with_equal_func(exchange->avoided_ids, id,
 						g_str_equal, NULL);
 }
 
--- a/adapters/gateway/leg.c
+++ b/adapters/gateway/leg.c
@@ -93,7 +93,7 @@
 		    exchange->service->engine.tokens_per_event;
 	remaining = MAX(exchange->expected_tokens - generated,
 			MIN_REMAINING_TOKENS);
-	return exchange->asked.prompt_tokens + generated +
+	return exchange->parsed_request.prompt_tokens + generated +
 	       MIN(remaining, PLANNED_AHEAD_TOKENS);
 }
 
@@ -159,7 +159,7 @@
 	leg->sent_us = exchange->gateway->now_us;
 	leg->is_takeover = copy_address != NULL;
 	if (!copy_address)
-		leg->unread_tokens = exchange->asked.prompt_tokens;
+		leg->unread_tokens = exchange->parsed_request.prompt_tokens;
 	leg_choose_backup(leg);
 	leg_count(leg, 1);
 	endpoint_health_count_placed(&endpoint->health);
@@ -240,7 +240,7 @@
 	struct attempt_options options = {
 		.address = leg->endpoint_address,
 		.echo_field = gateway->dialect->id_field,
-		.echo_value = exchange->asked.id,
+		.echo_value = exchange->parsed_request.id,
 		.request = leg_render(leg, copy_address, copy_name),
 		.now_us = gateway->now_us,
 		.has_no_body = strcmp(exchange->head->method, "HEAD") == 0,
