--- a/bench/event_queue.c
+++ b/bench/event_queue.c
@@ -1,7 +1,7 @@
 #include "bench/event_queue.h"
 
 struct event_queue {
-	GArray *heap; /* struct queued, binary heap */
+	GArray *heap; /* struct queued_event, binary heap */
 	uint64_t sequence;
 };
 
@@ -10,12 +10,12 @@
 {
 	struct event_queue *queue = g_new0(struct event_queue, 1);
 
-	queue->heap = g_array_new(FALSE, FALSE, sizeof(struct queued));
+	queue->heap = g_array_new(FALSE, FALSE, sizeof(struct queued_event));
 	return queue;
 }
 
 /* Frees the data of an item with its destroy function, if it has one. */
-void queued_clear(struct queued *item)
+void queued_event_clear(struct queued_event *item)
 {
 	if (item->destroy)
 		item->destroy(item->data);
@@ -27,12 +27,14 @@
 	if (!queue)
 		return;
 	for (guint i = 0; i < queue->heap->len; i++)
-		queued_clear(&g_array_index(queue->heap, struct queued, i));
+		queued_event_clear(
+			&g_array_index(queue->heap, struct queued_event, i));
 	g_array_unref(queue->heap);
 	g_free(queue);
 }
 
-static bool queued_before(const struct queued *a, const struct queued *b)
+static bool queued_event_before(const struct queued_event *a,
+				const struct queued_event *b)
 {
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us;
@@ -40,16 +42,16 @@
 }
 
 /* Adds a copy of the item and sets its sequence. */
-void event_queue_add(struct event_queue *queue, const struct queued *item)
+void event_queue_add(struct event_queue *queue, const struct queued_event *item)
 {
-	struct queued added = *item;
-	struct queued *heap;
+	struct queued_event added = *item;
+	struct queued_event *heap;
 	guint i = queue->heap->len;
 
 	added.sequence = queue->sequence++;
 	g_array_append_val(queue->heap, added);
-	heap = (struct queued *)queue->heap->data;
-	while (i > 0 && queued_before(&added, &heap[(i - 1) / 2])) {
+	heap = (struct queued_event *)queue->heap->data;
+	while (i > 0 && queued_event_before(&added, &heap[(i - 1) / 2])) {
 		heap[i] = heap[(i - 1) / 2];
 		i = (i - 1) / 2;
 	}
@@ -61,15 +63,15 @@
 {
 	if (!queue->heap->len)
 		return INT64_MAX;
-	return g_array_index(queue->heap, struct queued, 0).at_us;
+	return g_array_index(queue->heap, struct queued_event, 0).at_us;
 }
 
 /* Moves the first item to *item. The queue must not be empty. */
-void event_queue_pop(struct event_queue *queue, struct queued *item)
+void event_queue_pop(struct event_queue *queue, struct queued_event *item)
 {
-	struct queued *heap = (struct queued *)queue->heap->data;
+	struct queued_event *heap = (struct queued_event *)queue->heap->data;
 	guint count = queue->heap->len - 1;
-	struct queued last = heap[count];
+	struct queued_event last = heap[count];
 	guint i = 0;
 
 	*item = heap[0];
@@ -82,9 +84,9 @@
 		if (child >= count)
 			break;
 		if (child + 1 < count &&
-		    queued_before(&heap[child + 1], &heap[child]))
+		    queued_event_before(&heap[child + 1], &heap[child]))
 			child++;
-		if (!queued_before(&heap[child], &last))
+		if (!queued_event_before(&heap[child], &last))
 			break;
 		heap[i] = heap[child];
 		i = child;
--- a/bench/event_queue.h
+++ b/bench/event_queue.h
@@ -15,7 +15,7 @@
 
 typedef void (*event_callback)(struct world *world, void *data);
 
-struct queued {
+struct queued_event {
 	int64_t at_us;
 	uint64_t sequence; /* set by event_queue_add */
 	int32_t node;	   /* the event is dropped if it is dead; -1: no node */
@@ -29,10 +29,11 @@
 
 struct event_queue *event_queue_create(void);
 void event_queue_destroy(struct event_queue *queue);
-void event_queue_add(struct event_queue *queue, const struct queued *item);
+void event_queue_add(struct event_queue *queue,
+		     const struct queued_event *item);
 int64_t event_queue_next_us(const struct event_queue *queue);
-void event_queue_pop(struct event_queue *queue, struct queued *item);
-void queued_clear(struct queued *item);
+void event_queue_pop(struct event_queue *queue, struct queued_event *item);
+void queued_event_clear(struct queued_event *item);
 
 G_END_DECLS
 
--- a/bench/world.c
+++ b/bench/world.c
@@ -83,7 +83,7 @@
 void world_post(struct world *world, int64_t at_us, event_callback run,
 		void *data, GDestroyNotify destroy)
 {
-	struct queued item = {
+	struct queued_event item = {
 		.at_us = at_us,
 		.node = INDEX_NONE,
 		.run = run,
@@ -102,7 +102,7 @@
 void world_post_node(struct world *world, int64_t at_us, int32_t node,
 		     event_callback run, void *data, GDestroyNotify destroy)
 {
-	struct queued item = {
+	struct queued_event item = {
 		.at_us = at_us,
 		.node = node,
 		.incarnation = world->nodes[node].incarnation,
@@ -114,18 +114,18 @@
 	event_queue_add(world->queue, &item);
 }
 
-static void world_run_item(struct world *world, struct queued *item)
+static void world_run_item(struct world *world, struct queued_event *item)
 {
 	struct world_node *node;
 
 	if (item->node == INDEX_NONE) {
 		item->run(world, item->data);
-		queued_clear(item);
+		queued_event_clear(item);
 		return;
 	}
 	node = &world->nodes[item->node];
 	if (!node->node || node->incarnation != item->incarnation) {
-		queued_clear(item);
+		queued_event_clear(item);
 		return;
 	}
 	if (node->paused) {
@@ -134,13 +134,13 @@
 		return;
 	}
 	item->run(world, item->data);
-	queued_clear(item);
+	queued_event_clear(item);
 }
 
 /* Runs all events due up to until_us and advances the time to it. */
 void world_run_until(struct world *world, int64_t until_us)
 {
-	struct queued item;
+	struct queued_event item;
 
 	while (event_queue_next_us(world->queue) <= until_us) {
 		event_queue_pop(world->queue, &item);
--- a/bench/world_node.c
+++ b/bench/world_node.c
@@ -255,7 +255,7 @@
 
 static void deferred_destroy(gpointer data)
 {
-	queued_clear(data);
+	queued_event_clear(data);
 	g_free(data);
 }
 
@@ -280,7 +280,7 @@
 	node->paused = false;
 	g_queue_init(&node->deferred);
 	while (!g_queue_is_empty(&deferred)) {
-		struct queued *item = g_queue_pop_head(&deferred);
+		struct queued_event *item = g_queue_pop_head(&deferred);
 
 		item->at_us = world->now_us;
 		event_queue_add(world->queue, item);
@@ -290,7 +290,7 @@
 
 static void node_resume_if_same(struct world *world, void *data)
 {
-	const struct queued *resume = data;
+	const struct queued_event *resume = data;
 	struct world_node *node = &world->nodes[resume->node];
 
 	if (node->node && node->incarnation == resume->incarnation &&
@@ -302,12 +302,12 @@
 void world_pause_node(struct world *world, int32_t index, int64_t until_us)
 {
 	struct world_node *node = &world->nodes[index];
-	struct queued *resume;
+	struct queued_event *resume;
 
 	if (!node->node || node->paused)
 		return;
 	node->paused = true;
-	resume = g_new0(struct queued, 1);
+	resume = g_new0(struct queued_event, 1);
 	resume->node = index;
 	resume->incarnation = node->incarnation;
 	world_post(world, until_us, node_resume_if_same, resume, g_free);
--- a/bench/world_state.h
+++ b/bench/world_state.h
@@ -30,8 +30,8 @@
 	char *peer_address;
 	uint64_t incarnation;
 	bool paused;
-	int64_t wake_us;      /* of the wake-up in the queue */
-	GQueue deferred;      /* struct queued that came due during a pause */
+	int64_t wake_us; /* of the wake-up in the queue */
+	GQueue deferred; /* struct queued_event that came due during a pause */
 	GHashTable *attempts; /* attempt number to struct world_attempt */
 };
 
