--- a/adapters/gateway/leg.c
+++ b/adapters/gateway/leg.c
@@ -93,7 +93,7 @@
 		    exchange->service->engine.tokens_per_event;
 	remaining = MAX(exchange->expected_tokens - generated,
 			MIN_REMAINING_TOKENS);
-	return exchange->asked.prompt_tokens + generated +
+	return exchange->parsed_request.prompt_tokens + generated +
 	       MIN(remaining, PLANNED_AHEAD_TOKENS);
 }
 
@@ -117,13 +117,13 @@
 static struct endpoint *leg_pick_backup(const struct leg *leg)
 {
 	struct exchange *exchange = leg->exchange;
-	struct endpoint_criteria wish;
+	struct endpoint_criteria criteria;
 
 	if (exchange->home_backup_id)
 		return leg_find_home_backup(leg);
-	exchange_fill_criteria(exchange, &wish);
-	wish.avoid_id = leg->endpoint_id;
-	return endpoint_choose_backup(exchange->gateway->registry, &wish);
+	exchange_fill_criteria(exchange, &criteria);
+	criteria.avoid_id = leg->endpoint_id;
+	return endpoint_choose_backup(exchange->gateway->registry, &criteria);
 }
 
 /* Selects the engine that keeps a copy while the leg's endpoint runs it. */
@@ -138,8 +138,8 @@
 	g_clear_pointer(&exchange->home_backup_id, g_free);
 	if (!backup)
 		return;
-	leg->backup_id = g_strdup(backup->said->id);
-	leg->backup_address = g_strdup(backup->said->address);
+	leg->backup_id = g_strdup(backup->last_registration->id);
+	leg->backup_address = g_strdup(backup->last_registration->address);
 	leg->backup_known_us = backup->known_us;
 }
 
@@ -153,13 +153,13 @@
 	struct leg *leg = g_new0(struct leg, 1);
 
 	leg->exchange = exchange;
-	leg->endpoint_id = g_strdup(endpoint->said->id);
-	leg->endpoint_address = g_strdup(endpoint->said->address);
+	leg->endpoint_id = g_strdup(endpoint->last_registration->id);
+	leg->endpoint_address = g_strdup(endpoint->last_registration->address);
 	leg->tokens = exchange_held_tokens(exchange);
 	leg->sent_us = exchange->gateway->now_us;
 	leg->is_takeover = copy_address != NULL;
 	if (!copy_address)
-		leg->unread_tokens = exchange->asked.prompt_tokens;
+		leg->unread_tokens = exchange->parsed_request.prompt_tokens;
 	leg_choose_backup(leg);
 	leg_count(leg, 1);
 	endpoint_health_count_placed(&endpoint->health);
@@ -240,7 +240,7 @@
 	struct attempt_options options = {
 		.address = leg->endpoint_address,
 		.echo_field = gateway->dialect->id_field,
-		.echo_value = exchange->asked.id,
+		.echo_value = exchange->parsed_request.id,
 		.request = leg_render(leg, copy_address, copy_name),
 		.now_us = gateway->now_us,
 		.has_no_body = strcmp(exchange->head->method, "HEAD") == 0,
