--- a/bench/announce_sim.c
+++ b/bench/announce_sim.c
@@ -12,11 +12,11 @@
 
 /*
  * Processor time of each operation, in us. A request is a plain call or a
- * generation of some hundred events, in the users' mix: 0.0164 cores at 6.6
- * requests/s of a node. Records name 8 endpoints and have the cost of the first
- * implementation; they are cheaper now, but the bound must also hold at that
- * cost. A configuration document has 50 routes, which are checked and turned
- * into a table.
+ * generation of some hundred events; in the users' mix, a node spends 0.0164
+ * cores on 6.6 requests/s. The times to write and read a record were measured
+ * with 8 endpoints in it, on the first implementation. Records are cheaper now,
+ * but the bound on announcements must also hold at that cost. A configuration
+ * document has 50 routes, which are checked and turned into a table.
  */
 #define REQUEST_CPU_US 2000
 #define WRITE_CPU_US 35
@@ -33,8 +33,8 @@
 #define MAX_QUEUE_RECORDS 4000
 
 /*
- * Latency target of the shortest kind of request; most of it remains for the
- * endpoint.
+ * Latency target of the shortest kind of request; most of it is reserved for
+ * the endpoint.
  */
 #define LATENCY_TARGET_US (100 * 1000)
 
@@ -51,12 +51,12 @@
 	struct announce_pace pace;
 	int64_t version;
 	int64_t version_due_us;	   /* update by its own watch; 0: none */
-	int64_t announced_version; /* newest version of another node */
+	int64_t announced_version; /* newest that another node announced */
 	size_t announced_by;
 	struct table_fetch fetch;
 	struct table_copy_limit offer;
 	bool changed;
-	int64_t announced_us; /* last announcement, without the bound */
+	int64_t announced_us; /* last round, with unbounded_standings */
 };
 
 struct sim {
--- a/bench/direct_engine.c
+++ b/bench/direct_engine.c
@@ -7,7 +7,7 @@
 #define NOTICE_US (10 * G_USEC_PER_SEC)
 #define FAULT_DURATION_US (60 * G_USEC_PER_SEC)
 #define STALL_DURATION_US (20 * G_USEC_PER_SEC)
-#define SLOWDOWN 4.0
+#define SLOWDOWN_FACTOR 4.0
 
 static void direct_handle_output(struct direct *direct,
 				 const struct engine_output *output)
@@ -188,7 +188,7 @@
 		break;
 	case FAULT_SLOW:
 		engine_model_set_slowdown(direct->engines[0],
-					  stage == 0 ? SLOWDOWN : 1);
+					  stage == 0 ? SLOWDOWN_FACTOR : 1);
 		if (stage == 0)
 			direct->next_fault_us =
 				direct->now_us + FAULT_DURATION_US;
--- a/bench/direct_state.h
+++ b/bench/direct_state.h
@@ -47,7 +47,7 @@
 	bool crashed[ENGINES];
 	char *engine_names[ENGINES];
 	int64_t cache_forwarded[ENGINES]; /* last event forwarded or lost */
-	int64_t cache_pending[ENGINES];	  /* last event of the next turn */
+	int64_t cache_pending[ENGINES];	  /* last to forward in the next turn */
 	char *plain_names[PLAIN_ENDPOINTS];
 	int32_t plain_running[PLAIN_ENDPOINTS];
 	struct placement *placements[NODES]; /* one in all with a home */
--- a/bench/evacuation_bench.c
+++ b/bench/evacuation_bench.c
@@ -30,7 +30,8 @@
 		(int)result->preemptions);
 }
 
-static void add(struct fleet_result *sum, const struct fleet_result *result)
+static void add_result(struct fleet_result *sum,
+		       const struct fleet_result *result)
 {
 	sum->worth += result->worth;
 	sum->reports += result->reports;
@@ -60,7 +61,7 @@
 		fleet_run(&bench->fleet, &result);
 		write_csv(bench, fleet_policy_name(policy), bench->fleet.seed,
 			  &result);
-		add(&sum, &result);
+		add_result(&sum, &result);
 	}
 	printf("%-7s %6.3f %8.1f %7.1f %7.1f %6.1f %5.1f %8.1f %6.1f %8.1f "
 	       "%8.1f %9.0f %9.0f\n",
--- a/bench/fleet.c
+++ b/bench/fleet.c
@@ -45,7 +45,7 @@
 	fleet->servers = g_ptr_array_new_with_free_func(fleet_server_destroy);
 	fleet->generations = g_ptr_array_new_with_free_func(g_free);
 	fleet->registry = registry_create();
-	fleet->ability = (struct engine_capabilities){
+	fleet->capabilities = (struct engine_capabilities){
 		.slots = fleet->options.slots,
 		.memory_tokens = fleet->options.memory_tokens,
 		.tokens_per_event = TOKENS_PER_EVENT,
--- a/bench/fleet_change.c
+++ b/bench/fleet_change.c
@@ -76,7 +76,7 @@
 
 /* State of the copies, which is also valid after the engine has left. */
 static struct evacuation_input
-copies_of(const struct fleet_generation *generation)
+build_copy_input(const struct fleet_generation *generation)
 {
 	const struct fleet_server *target = generation->copy.holder;
 	const struct fleet_server *backup = generation->backup.holder;
@@ -92,10 +92,10 @@
 }
 
 static struct evacuation_input
-input_of(struct fleet *fleet, const struct fleet_generation *generation)
+build_input(struct fleet *fleet, const struct fleet_generation *generation)
 {
 	const struct fleet_server *server = generation->server;
-	struct evacuation_input input = copies_of(generation);
+	struct evacuation_input input = build_copy_input(generation);
 
 	if (server->notice_us)
 		input.under_notice_us = fleet->now_us - server->notice_us;
@@ -141,9 +141,10 @@
 	generation->run = NULL;
 }
 
-static void decide(struct fleet *fleet, struct fleet_generation *generation)
+static void step_evacuation(struct fleet *fleet,
+			    struct fleet_generation *generation)
 {
-	struct evacuation_input input = input_of(fleet, generation);
+	struct evacuation_input input = build_input(fleet, generation);
 
 	switch (evacuation_decide(&input)) {
 	case EVACUATION_STAY:
@@ -194,7 +195,7 @@
 static bool request_source_takeover(struct fleet *fleet,
 				    struct fleet_generation *generation)
 {
-	struct evacuation_input input = copies_of(generation);
+	struct evacuation_input input = build_copy_input(generation);
 
 	input.has_begun = generation->run_begun_us != 0;
 	input.begun_us = fleet->now_us - generation->run_begun_us;
@@ -213,7 +214,8 @@
  * The engine has left: the generation continues at an engine already asked, or
  * from an existing copy, or is lost.
  */
-static void rescue(struct fleet *fleet, struct fleet_generation *generation)
+static void recover_or_lose(struct fleet *fleet,
+			    struct fleet_generation *generation)
 {
 	if (generation->asked_server ||
 	    request_source_takeover(fleet, generation))
@@ -232,10 +234,10 @@
 		if (!generation->server)
 			continue;
 		if (!generation->server->engine)
-			rescue(fleet, generation);
+			recover_or_lose(fleet, generation);
 		else {
 			step_copies(fleet, generation);
-			decide(fleet, generation);
+			step_evacuation(fleet, generation);
 		}
 	}
 }
--- a/bench/fleet_engine.c
+++ b/bench/fleet_engine.c
@@ -129,7 +129,7 @@
 	}
 }
 
-static struct fleet_engine_run *newest(const struct fleet_engine *engine)
+static struct fleet_engine_run *newest_run(const struct fleet_engine *engine)
 {
 	struct fleet_engine_run *found = NULL;
 
@@ -147,7 +147,7 @@
 static void preempt(struct fleet_engine *engine)
 {
 	while (used_tokens(engine) > engine->options.memory_tokens) {
-		struct fleet_engine_run *run = newest(engine);
+		struct fleet_engine_run *run = newest_run(engine);
 
 		if (!run)
 			return;
@@ -159,7 +159,7 @@
 }
 
 /* The run whose prompt is being read, or NULL. Only one is read at a time. */
-static struct fleet_engine_run *reading(const struct fleet_engine *engine)
+static struct fleet_engine_run *reading_run(const struct fleet_engine *engine)
 {
 	for (guint i = 0; i < engine->runs->len; i++) {
 		struct fleet_engine_run *run =
@@ -173,7 +173,7 @@
 
 static void begin_step(struct fleet_engine *engine)
 {
-	const struct fleet_engine_run *read = reading(engine);
+	const struct fleet_engine_run *read = reading_run(engine);
 	int64_t step_us = STEP_US + STEP_PER_RUN_US * admitted_count(engine);
 
 	engine->chunk_tokens = read ? MIN(read->unread, CHUNK_TOKENS) : 0;
@@ -186,7 +186,7 @@
 		     void *data)
 {
 	GPtrArray *generating = g_ptr_array_new();
-	struct fleet_engine_run *read = reading(engine);
+	struct fleet_engine_run *read = reading_run(engine);
 
 	for (guint i = 0; i < engine->runs->len; i++) {
 		struct fleet_engine_run *run =
--- a/bench/fleet_engine.h
+++ b/bench/fleet_engine.h
@@ -9,7 +9,7 @@
 
 /* One run of a generation at an engine. */
 struct fleet_engine_run {
-	void *generation; /* that the run belongs to */
+	void *generation; /* the struct fleet_generation of this run */
 	int64_t prompt_tokens;
 	int64_t generated; /* tokens */
 	int64_t output_tokens;
--- a/bench/fleet_generation.c
+++ b/bench/fleet_generation.c
@@ -50,7 +50,7 @@
 {
 	*criteria = (struct endpoint_criteria){
 		.service = SERVICE,
-		.engine = &fleet->ability,
+		.engine = &fleet->capabilities,
 		.failure_domain = "a",
 		.avoid_id = generation->server ? generation->server->id : NULL,
 		.tokens = fleet_load_tokens(generation),
@@ -147,8 +147,8 @@
 }
 
 /* The new engine has generated a token: releases the old engine. */
-static void change_engine(struct fleet *fleet,
-			  struct fleet_generation *generation)
+static void finish_takeover(struct fleet *fleet,
+			    struct fleet_generation *generation)
 {
 	if (generation->server) {
 		if (generation->server->engine)
@@ -179,7 +179,7 @@
 	struct fleet_generation *generation = run->generation;
 
 	if (run == generation->asked_run && generation->asked_server)
-		change_engine(fleet, generation);
+		finish_takeover(fleet, generation);
 	if (run->generated > generation->delivered) {
 		if (!generation->first_us)
 			fleet_add_load(fleet, generation->server, 0, 0,
--- a/bench/fleet_state.h
+++ b/bench/fleet_state.h
@@ -91,14 +91,14 @@
 	GPtrArray *servers;	   /* struct fleet_server */
 	GPtrArray *generations;	   /* struct fleet_generation */
 	struct registry *registry; /* of the simulated gateway */
-	struct engine_capabilities ability;
+	struct engine_capabilities capabilities;
 	int64_t now_us;
 	int64_t revision;
 	int64_t next_notice_us;
 	int64_t next_crash_us;
 	int64_t replace_us[64]; /* when replacements start; 0: unused */
 	int32_t started_count;
-	double possible_worth, earned_worth; /* possible and achieved worth */
+	double possible_worth, earned_worth; /* sums over all generations */
 };
 
 /* fleet_server.c */
--- a/bench/measure.c
+++ b/bench/measure.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Readers do not notice a gap between tokens up to this: it is no stall. */
+/* A longer gap between tokens is a stall; readers do not notice a shorter. */
 #define MAX_GAP_US (200 * 1000)
 #define RECOVERY_S 10 /* from a fault's start to the window after it */
 #define FAULT_WINDOW_S 40
@@ -76,7 +76,7 @@
 	       flow->item->at_us < measure->until_us;
 }
 
-/* Counts tokens of a stream and the gap before them; at_us: when generated. */
+/* Counts tokens that a stream generated at at_us, and the gap before them. */
 void measure_add_tokens(struct measure *measure, struct flow *flow,
 			int64_t count, int64_t at_us)
 {
--- a/bench/member_network.c
+++ b/bench/member_network.c
@@ -418,8 +418,8 @@
 }
 
 /*
- * Whether node i lists the other node with its current incarnation in this
- * state. A node that is not listed counts as dead.
+ * Returns whether node i lists node other in this state and with its current
+ * incarnation. A node that is not listed counts as dead.
  */
 bool member_network_lists(const struct member_network *network, uint32_t i,
 			  uint32_t other, enum member_state state)
--- a/bench/membership_bench.c
+++ b/bench/membership_bench.c
@@ -133,9 +133,10 @@
 
 /*
  * Runs networks of 8 and of 48 nodes alternately, with the given loss, and
- * prints how many running nodes were declared dead.
+ * prints how often a running node was declared dead.
  */
-static void soak(const struct member_network_options *options, int seeds)
+static void print_false_deaths(const struct member_network_options *options,
+			       int seeds)
 {
 	const int64_t seconds = 60;
 	uint64_t deaths = 0;
@@ -273,7 +274,7 @@
 	       "of %d seeds\n",
 	       heartbeat_ms, 5 * heartbeat_ms, loss, seeds);
 	if (soak_only)
-		soak(&options, seeds);
+		print_false_deaths(&options, seeds);
 	else
 		print_table(&options, seeds);
 	return 0;
--- a/bench/region.h
+++ b/bench/region.h
@@ -28,7 +28,10 @@
 	uint32_t seed;
 };
 
-/* Cost per node between start and stop, averaged over the nodes. */
+/*
+ * Cost per node from region_start_measure() to region_stop_measure(), averaged
+ * over the nodes.
+ */
 struct region_cost {
 	double control_cpu;   /* cores: timers, peers, load, grants */
 	double data_cpu;      /* cores: calls, chunks and their ends */
@@ -37,7 +40,7 @@
 	double kv_calls_per_s;
 	double polls_per_s;
 	double calls_per_s;
-	double open_calls; /* when the count stops */
+	double open_calls; /* in flight at the end of the measurement */
 	double grant_us;   /* processor time of a home per request to place */
 	double bytes_by_type[PEER_MESSAGE_TYPES];
 };
--- a/bench/region_state.h
+++ b/bench/region_state.h
@@ -26,8 +26,8 @@
 	int32_t node;
 	struct event event;
 	struct peer_message *message; /* owned; EVENT_PEER */
-	char *text;	     /* owned; endpoint of a load, generation */
-	GBytes *data;	     /* owned; records, chunks, watched values */
+	char *text;   /* owned; address of a load report, or generation */
+	GBytes *data; /* owned; records, chunks, watched values */
 	struct kv_answer kv; /* owned; EVENT_KV */
 };
 
--- a/bench/scenario.h
+++ b/bench/scenario.h
@@ -26,12 +26,12 @@
 	FAULT_CRASH,	   /* an engine crashes and restarts a minute later */
 	FAULT_RECLAIM,	   /* two engines are reclaimed at short notice */
 	FAULT_STALL,	   /* an engine generates no tokens for 20 s */
-	FAULT_SLOW,	   /* an engine takes four times as long */
+	FAULT_SLOW,	   /* an engine's steps take four times as long */
 	FAULT_LATE_LOAD,   /* load reports come 5 s late */
 	FAULT_WRONG_LOAD,  /* load reports are negative, implausible or
 			    * those of an empty engine */
 	FAULT_NODE_LOST,   /* an entry node crashes */
-	FAULT_HOME_LOST,   /* the home of the engines crashes, restarts */
+	FAULT_HOME_LOST,   /* the home of the engines crashes and restarts */
 	FAULT_HOME_PAUSED, /* the home is paused for 15 s */
 	FAULT_KV_OUTAGE,   /* the key-value service is down for a minute */
 	FAULTS
--- a/bench/slope.h
+++ b/bench/slope.h
@@ -6,9 +6,9 @@
 G_BEGIN_DECLS
 
 /*
- * Time per placement decision as a function of the number of engines in one
- * placement, with the progress reports that arrive per decision. Engines are
- * not simulated.
+ * Measures the time of a placement decision, and of the progress reports that
+ * arrive between two decisions, at growing numbers of engines in one placement.
+ * Engines are not simulated.
  */
 void slope_print(void);
 
--- a/bench/workload.c
+++ b/bench/workload.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-/* Between tokens of a full engine that reads no prompt. */
+/* Time between two tokens of a full engine that reads no prompt. */
 #define NOMINAL_INTERVAL_US 14400.0
 #define NOMINAL_PREFILL_US 80.0
 #define MAX_OUTPUT_TOKENS 8192
--- a/bench/world_node.c
+++ b/bench/world_node.c
@@ -4,7 +4,8 @@
 
 #define EVENT_KEY "the event key of this world"
 #define SEED_NODES 3
-#define LATE_DELAY_US (4 * G_USEC_PER_SEC) /* added; half to twice this */
+/* Mean extra delay of a late message; each is half to twice this. */
+#define LATE_DELAY_US (4 * G_USEC_PER_SEC)
 #define MIN_WAKE_DELAY_US 100 /* time advances even if a node is always due */
 
 static const char unreachable_address[] = "10.0.9.9:7000";
@@ -38,7 +39,7 @@
 	struct world_node *node = data;
 	const struct event event = {.type = EVENT_TIMER};
 
-	/* An earlier wake-up has replaced this one. */
+	/* This wake-up is obsolete: the node has already been woken earlier. */
 	if (node->wake_us > world->now_us)
 		return;
 	node->wake_us = INT64_MAX;
--- a/fuzz/config_json_fuzz.c
+++ b/fuzz/config_json_fuzz.c
@@ -17,7 +17,10 @@
 	config_unref(again);
 }
 
-/* Parses the input as a stored document and as an intent against it. */
+/*
+ * Parses the input as a stored document, and plans the same input as an intent
+ * that changes it.
+ */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	GBytes *text = g_bytes_new(data, size);
--- a/fuzz/etcd_json_fuzz.c
+++ b/fuzz/etcd_json_fuzz.c
@@ -7,8 +7,8 @@
 enum { MAX_BYTES = 64 * 1024 };
 
 /*
- * Parses the input as the answer to each kind of request, as a watch message
- * and as a VM list.
+ * Parses the input as the answer to each kind of key-value request, as a watch
+ * message and as a VM list.
  */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
--- a/fuzz/gateway_fuzz.c
+++ b/fuzz/gateway_fuzz.c
@@ -53,7 +53,7 @@
 	return true;
 }
 
-static void scan(const uint8_t *data, size_t size, size_t piece)
+static void scan_in_pieces(const uint8_t *data, size_t size, size_t piece)
 {
 	size_t found = 0;
 	struct event_scanner *scanner =
@@ -88,6 +88,6 @@
 		g_string_free(unsplit, TRUE);
 		g_string_free(split, TRUE);
 	}
-	scan(data, size, piece);
+	scan_in_pieces(data, size, piece);
 	return 0;
 }
--- a/fuzz/http_body_fuzz.c
+++ b/fuzz/http_body_fuzz.c
@@ -9,7 +9,7 @@
 
 enum { COLLECT_BYTES_MAX = 256 };
 
-/* Reads the input as a request body and collects it as an answer chunk. */
+/* Reads the input as a request body, and collects it as two answer chunks. */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	struct request *request = request_create(REQUEST_GENERATION);
--- a/fuzz/platform_fuzz.c
+++ b/fuzz/platform_fuzz.c
@@ -29,7 +29,7 @@
 	registration_destroy(entry);
 }
 
-static void read_answers(GBytes *bytes)
+static void read_engine_answers(GBytes *bytes)
 {
 	struct move_answer answer = {NULL};
 
@@ -40,8 +40,11 @@
 	platform_dialect.read_report_is_leaving(bytes);
 }
 
-/* Parses the answer of each operation with each status that has a meaning. */
-static void read_calls(GBytes *bytes)
+/*
+ * Parses the input as the answer to each key-value operation, with each status
+ * that has a meaning of its own.
+ */
+static void read_kv_answers(GBytes *bytes)
 {
 	static const int32_t statuses[] = {200, 404, 412, 429, 500};
 
@@ -61,7 +64,10 @@
 		}
 }
 
-/* Parses the input as each message of the store, its writers and engines. */
+/*
+ * Parses the input as each kind of message that the store, its writers or the
+ * engines may send.
+ */
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
 	GBytes *bytes = g_bytes_new(data, size);
@@ -73,8 +79,8 @@
 	config_unref(config);
 	read_page(bytes);
 	read_entry(bytes);
-	read_answers(bytes);
-	read_calls(bytes);
+	read_engine_answers(bytes);
+	read_kv_answers(bytes);
 	g_bytes_unref(bytes);
 	return 0;
 }
