--- a/tests/announce_pace_test.cc
+++ b/tests/announce_pace_test.cc
@@ -4,7 +4,7 @@
 
 static constexpr int64_t kTickUs = 25000;
 
-/* Returns the records sent in this time, with a change at each tick or none. */
+/* Returns the number of records sent, with a change at each tick or none. */
 static size_t records(size_t others, int64_t seconds, bool changed)
 {
 	struct announce_pace pace;
--- a/tests/differential_script.cc
+++ b/tests/differential_script.cc
@@ -252,7 +252,10 @@
 	intent->expected = naive_.Call(intent->organisation + "/" + intent->key,
 				       intent->body, intent->tokens);
 	intents_[intent->body] = intent;
-	/* Idempotent ids are compared only by the node that remembers them. */
+	/*
+	 * Only the node that remembers an idempotent id detects its reuse, so
+	 * only a non-idempotent one may be sent to any node.
+	 */
 	if (intent->non_idempotent)
 		Send(intent, AnyNode());
 }
--- a/tests/evacuation_script.cc
+++ b/tests/evacuation_script.cc
@@ -124,7 +124,7 @@
 		asked_at = now;
 	}
 
-	/* The asked engine answers, or replies that it has no copy. */
+	/* The engine that was asked continues, or replies "no copy". */
 	void StepAsked()
 	{
 		if (!is_asked || !scene.connects)
--- a/tests/evacuation_test.cc
+++ b/tests/evacuation_test.cc
@@ -44,7 +44,7 @@
 	return read;
 }
 
-std::string play(const script &read)
+std::string run_scene(const script &read)
 {
 	struct evacuation_scene scene;
 	std::string seen = read.head + "--\n";
@@ -75,7 +75,7 @@
 	std::stringstream expected;
 
 	expected << in.rdbuf();
-	std::string seen = play(read_script(expected.str()));
+	std::string seen = run_scene(read_script(expected.str()));
 
 	if (getenv("WRITE_SCRIPTS")) {
 		std::ofstream(path) << seen;
@@ -116,10 +116,9 @@
 /*
  * An engine is lost behind a cut link, which is noticed after seconds of
  * silence. No event has arrived, but the engine may have generated some and
- * copied them, so the run continues from the backup. A few ms after the start,
- * or if the engine was in reach all the time and broke off without an event,
- * there can be no copy, and an engine asked to continue would begin the run
- * anew.
+ * copied them, so the run continues from the backup. There can be no copy a few
+ * ms after the start, or if the engine was reachable all the time and failed
+ * before its first event; the backup engine would then start the run again.
  */
 TEST(Evacuation, UsesABackupOnlyOnceItMayExist)
 {
--- a/tests/gateway_test.cc
+++ b/tests/gateway_test.cc
@@ -120,7 +120,7 @@
 		log_destroy(log);
 	}
 
-	/* n0 announces its configuration and if it reaches the store. */
+	/* n0 announces its version and whether it reaches the store. */
 	void ReceiveStanding(int64_t version, bool reaches_store)
 	{
 		struct peer_message *message =
@@ -202,8 +202,8 @@
 }
 
 /*
- * Guards against new requests to an engine that has left, while a peer is
- * partitioned from the store.
+ * The store reports that an engine has left, while a sentinel does not reach
+ * the store. The node must apply the removal and send the engine nothing more.
  */
 TEST_F(Gateway, AppliesARemovalThoughASentinelLostTheStore)
 {
--- a/tests/kv_client_test.cc
+++ b/tests/kv_client_test.cc
@@ -50,10 +50,10 @@
 	void TearDown() override
 	{
 		kv_client_destroy(client);
-		settle();
+		run_pending_events();
 		fake_server_destroy(http_server);
 		kv_server_destroy(server);
-		settle();
+		run_pending_events();
 	}
 
 	void start(int64_t max_value_bytes = 1 << 20, int64_t resync_ms = 0)
@@ -365,7 +365,7 @@
 		kv_server_modes(server)->down = true;
 		kv_server_modes(server)->close_watches = true;
 		revision = put(std::to_string(i).c_str());
-		settle();
+		run_pending_events();
 		kv_server_modes(server)->down = false;
 		EXPECT_TRUE(wait_for_value(std::to_string(i)));
 	}
--- a/tests/loopback.cc
+++ b/tests/loopback.cc
@@ -31,7 +31,7 @@
 	run_until([&] { return ++iterations > 30; });
 }
 
-void settle()
+void run_pending_events()
 {
 	for (int i = 0; i < 1000; i++)
 		g_main_context_iteration(nullptr, FALSE);
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -20,8 +20,8 @@
 /* Iterates the default main context 30 times. */
 void run_idle();
 
-/* Lets cancelled calls return, so that none is left pending. */
-void settle();
+/* Runs pending events without waiting, for example of cancelled calls. */
+void run_pending_events();
 
 /* A copy of a delivered event and of the data that it pointed to. */
 struct recorded {
--- a/tests/plan_test.cc
+++ b/tests/plan_test.cc
@@ -54,8 +54,8 @@
 	return std::string(error_code_name(error.code)) + ": " + error.detail;
 }
 
-struct plan *plan_on(const char *base, const std::string &intent,
-		     struct error *error)
+struct plan *plan_from_base(const char *base, const std::string &intent,
+			    struct error *error)
 {
 	struct config *config = parse(base, nullptr);
 	GBytes *body = bytes_of(intent);
@@ -70,7 +70,7 @@
 std::string plan_error(const std::string &intent)
 {
 	struct error error = {};
-	struct plan *plan = plan_on(base_text, intent, &error);
+	struct plan *plan = plan_from_base(base_text, intent, &error);
 
 	EXPECT_EQ(nullptr, plan) << intent;
 	plan_destroy(plan);
@@ -167,7 +167,7 @@
 TEST(Plan, ListsDifferencesAndWarnings)
 {
 	struct error error = {};
-	struct plan *plan = plan_on(
+	struct plan *plan = plan_from_base(
 		base_text,
 		R"({"services":[{"name":"writer","kind":"generation","endpoints":[
 		 {"address":"127.0.0.1:9001","failure_domain":"a",
@@ -197,10 +197,11 @@
 
 TEST(Plan, ResultCarriesPlanAndHistoryButShowsNoSecret)
 {
-	struct plan *plan = plan_on(base_text,
-				    R"({"organisations":[{"name":"kgotso",
+	struct plan *plan =
+		plan_from_base(base_text,
+			       R"({"organisations":[{"name":"kgotso",
 				    "key":"very-secret-key"}]})",
-				    nullptr);
+			       nullptr);
 	char *digest = g_compute_checksum_for_string(G_CHECKSUM_SHA256,
 						     "very-secret-key", -1);
 	std::string shown = text_of(plan_format_json(plan));
@@ -231,10 +232,10 @@
 
 TEST(Plan, OrganisationWithoutKeyKeepsItsKey)
 {
-	struct plan *plan =
-		plan_on(base_text,
-			R"({"organisations":[{"name":"atlas","priority":1}]})",
-			nullptr);
+	struct plan *plan = plan_from_base(
+		base_text,
+		R"({"organisations":[{"name":"atlas","priority":1}]})",
+		nullptr);
 
 	EXPECT_EQ("change organisation atlas: priority 5 -> 1, requests_per_s "
 		  "100 -> 0\n",
@@ -267,10 +268,10 @@
 {
 	struct error error = {};
 	struct plan *plan =
-		plan_on(base_text,
-			R"({"rollouts":[{"name":"v2","service":"writer",
+		plan_from_base(base_text,
+			       R"({"rollouts":[{"name":"v2","service":"writer",
 		"target":"draft-v2","max_parallel":2}]})",
-			&error);
+			       &error);
 
 	ASSERT_NE(nullptr, plan) << error.detail;
 	EXPECT_EQ("add rollout v2: service writer, target draft-v2, "
@@ -298,13 +299,13 @@
 		R"("rollouts":[{"name":"v2","service":"w","target":"t",)" +
 		R"("id":"old"}]})";
 	std::string same = std::string("{\"rollouts\":[") + rollout + "]}";
-	struct plan *kept = plan_on(base.c_str(), same, nullptr);
-	struct plan *changed = plan_on(
+	struct plan *kept = plan_from_base(base.c_str(), same, nullptr);
+	struct plan *changed = plan_from_base(
 		base.c_str(),
 		R"({"rollouts":[{"name":"v2","service":"w","target":"u"}]})",
 		nullptr);
-	struct plan *removed =
-		plan_on(base.c_str(), R"({"remove_rollouts":["v2"]})", nullptr);
+	struct plan *removed = plan_from_base(
+		base.c_str(), R"({"remove_rollouts":["v2"]})", nullptr);
 
 	EXPECT_STREQ("old", config_find_rollout(kept->result, "v2")->id);
 	EXPECT_STREQ("n1-7", config_find_rollout(changed->result, "v2")->id);
@@ -347,7 +348,7 @@
 static std::string route_plan_error(const std::string &intent)
 {
 	struct error error = {};
-	struct plan *plan = plan_on(routes_base, intent, &error);
+	struct plan *plan = plan_from_base(routes_base, intent, &error);
 
 	EXPECT_EQ(nullptr, plan) << intent;
 	plan_destroy(plan);
@@ -357,16 +358,16 @@
 TEST(PlanRoutes, ShowsWhatChangesForCallers)
 {
 	struct error error = {};
-	struct plan *plan =
-		plan_on(routes_base,
-			R"({"routes":[{"name":"lookup","host":"reports.example",
+	struct plan *plan = plan_from_base(
+		routes_base,
+		R"({"routes":[{"name":"lookup","host":"reports.example",
 		 "path_prefix":"/lookup/","kind":"idempotent","public":true,
 		 "max_attempts":2,"timeout_ms":1500,"targets":[
 		 {"service":"old","weight":90},{"service":"new","weight":10}]},
 		 {"name":"draft","host":"reports.example","path_prefix":"/d/",
 		 "kind":"stream","priority":1,"targets":[{"service":"new"}]}],
 		 "callers":{"body_bytes":65536}})",
-			&error);
+		&error);
 
 	ASSERT_NE(nullptr, plan) << error.detail;
 	EXPECT_EQ("change route lookup: kind once -> idempotent, public no -> "
@@ -387,7 +388,7 @@
 TEST(PlanRoutes, KeepsWhatTheIntentLeavesOut)
 {
 	struct error error = {};
-	struct plan *plan = plan_on(
+	struct plan *plan = plan_from_base(
 		routes_base, R"({"services":[{"name":"more","kind":"plain"}]})",
 		&error);
 	struct config *result;
@@ -405,8 +406,8 @@
 TEST(PlanRoutes, WarnsAboutRemovedRoute)
 {
 	struct error error = {};
-	struct plan *plan =
-		plan_on(routes_base, R"({"remove_routes":["lookup"]})", &error);
+	struct plan *plan = plan_from_base(
+		routes_base, R"({"remove_routes":["lookup"]})", &error);
 
 	ASSERT_NE(nullptr, plan) << error.detail;
 	EXPECT_EQ("remove route lookup\n", lines(plan->differences));
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -133,7 +133,7 @@
 					 "\"routes\":[{}]}"));
 }
 
-/* The error names the place of an operator's mistake. */
+/* The error names the path of the invalid or missing member. */
 TEST(Platform, SaysWhatItCannotReadInAConfiguration)
 {
 	const char *const cases[][2] = {
--- a/tests/policy_test.cc
+++ b/tests/policy_test.cc
@@ -16,8 +16,8 @@
 
 /*
  * Reports become three times as long in mid-run at full load. Naive placement
- * fills the engines' memory, which causes preemptions; the project's placement
- * must have less than a tenth of them and serve over 95 % as many tokens. The
+ * fills the engines' memory, which causes preemptions. The project's placement
+ * must cause less than a tenth as many and serve over 95 % as many tokens. The
  * margins are wide: docs/POLICY.md has the figures.
  */
 TEST(Policy, KeepsClearOfPreemptionsWhenLengthsShift)
--- a/tests/soak/soak_caller.c
+++ b/tests/soak/soak_caller.c
@@ -12,14 +12,14 @@
 /* A caller reads for this long after its deadline before it disconnects. */
 #define DEADLINE_SLACK_US (250 * MS_US)
 #define RETRIES 1
-/* Of callers that ignore Retry-After: they retry at once and more often. */
+/* Callers that ignore Retry-After retry at once, and this many times. */
 #define IMPATIENT_RETRIES 4
 #define PROBE_EVERY_US (150 * MS_US)
 /* The fake engine crashes when a request body contains this text. */
 #define POISON "[[poison]]"
 #define POISON_ATTEMPTS 5
 #define POISON_EVERY_US (300 * MS_US)
-/* The second version after the one that added a route removes the route. */
+/* A route is removed this many versions after the one that added it. */
 #define ROUTE_LIFE_VERSIONS 2
 
 enum behaviour {
--- a/tests/soak/soak_check_config.c
+++ b/tests/soak/soak_check_config.c
@@ -81,7 +81,8 @@
 	int32_t settled_version; /* known for longer than BACK_US */
 };
 
-static void known_raise(struct known *known, int32_t version, int64_t at_us)
+static void raise_known_version(struct known *known, int32_t version,
+				int64_t at_us)
 {
 	if (version <= known->min_version)
 		return;
@@ -90,8 +91,9 @@
 }
 
 /*
- * A node that paused in between may answer late according to the configuration
- * that it had read before, so only the version known for BACK_US counts.
+ * Reports a probe answered according to a configuration older than one that the
+ * process has applied. A node that was paused may answer late from an older
+ * one, so only versions known for longer than BACK_US count.
  */
 static void check_probe_order(struct soak_check *check,
 			      const struct soak_attempt *probe,
@@ -117,9 +119,9 @@
 			"is gone",
 			probe->version);
 	if (status == 200)
-		known_raise(known, probe->version, probe->ended_us);
+		raise_known_version(known, probe->version, probe->ended_us);
 	if (status == 404 && known->settled_version >= probe->version)
-		known_raise(known, removed, probe->ended_us);
+		raise_known_version(known, removed, probe->ended_us);
 }
 
 /* A process never returns to an older configuration while it runs. */
--- a/tests/soak/soak_check_requests.c
+++ b/tests/soak/soak_check_requests.c
@@ -6,7 +6,7 @@
 /* Checks of single requests: how often each ran, and the answer it got. */
 
 #define MAX_ENGINES 3
-/* Time that two engines may work on one stream during a takeover. */
+/* Time for which two engines may both work on one stream during a takeover. */
 #define MAX_OVERLAP_US (400 * SOAK_MS_US)
 #define ENGINE_ERROR_STATUS 500
 
--- a/tests/soak/soak_check_times.c
+++ b/tests/soak/soak_check_times.c
@@ -8,24 +8,24 @@
 #define DRAIN_US (2000 * SOAK_MS_US) /* drain_ms */
 #define GRACE_US (8000 * SOAK_MS_US) /* grace_s */
 /*
- * A request sent by EARLY_SENT_US after SIGTERM may be aborted if its engine
- * still works on it in the last sixth of the grace period.
+ * A request sent at most EARLY_SENT_US after SIGTERM may be aborted if it is
+ * still unfinished in the last sixth of the grace period.
  */
 #define GRACE_USED_US (GRACE_US * 5 / 6)
 #define EARLY_SENT_US (3000 * SOAK_MS_US)
 #define LOSS_SLACK_US (200 * SOAK_MS_US) /* loss_slack_ms */
-/* Requests unanswered LATE_US (0.5 s) after their timeout count as late. */
+/* A request without an answer LATE_US after its timeout counts as late. */
 #define PLAIN_TIMEOUT_US (1500 * SOAK_MS_US)
 #define LATE_US (500 * SOAK_MS_US)
 #define LATE_REQUESTS_LIMIT 8
-/* budget_ratio, budget_window_s, budget_extra */
+/* The documented retry budget: budget_ratio, budget_window_s, budget_extra. */
 #define BUDGET_PERCENT 20
 #define BUDGET_WINDOW_US (10 * G_TIME_SPAN_SECOND)
 #define BUDGET_EXTRA 54
 #define MAX_CRASHES 3
 /*
- * Memory bound of the larger deployment, rounded down; bound on descriptors of
- * both deployments.
+ * Limits of a node: its memory in the larger deployment, rounded down, and its
+ * open descriptors in both deployments.
  */
 #define MAX_RESIDENT_BYTES (256LL << 20)
 #define MAX_OPEN_FILES 4100
@@ -127,7 +127,7 @@
 	       attempt->end == SOAK_END_RESET;
 }
 
-/* A request sent while its connection was being closed was not read. */
+/* A request that arrives after the node closed the connection is not read. */
 static bool was_read(const struct soak_check *check,
 		     const struct soak_attempt *attempt)
 {
@@ -195,7 +195,7 @@
 	       soak_check_is_stable(check, attempt->front, attempt->ended_us);
 }
 
-/* A request that is unanswered at its route's timeout is answered then. */
+/* A request that exceeds its route's timeout gets an error answer then. */
 void soak_check_timeouts(struct soak_check *check)
 {
 	const GPtrArray *attempts = check->evidence->attempts;
@@ -262,7 +262,10 @@
 	return times;
 }
 
-/* The most requests in this window, or in one half or one window earlier. */
+/*
+ * Returns the highest number of requests in three windows: the one that ends at
+ * end_us, and those that end half a window and a whole window earlier.
+ */
 static int32_t budget_base(const struct soak_check *check, bool to_engines,
 			   int64_t end_us)
 {
--- a/tests/soak/soak_connection.c
+++ b/tests/soak/soak_connection.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-/* Belongs to no request, but looks like an answer to the next one. */
+/* An unsolicited answer, which looks like that to the next request. */
 #define STRAY_ANSWER "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 
 #define READ_BYTES 16384
@@ -220,7 +220,7 @@
 	if (side_is_finished(connection, CLIENT) &&
 	    side_is_finished(connection, TARGET))
 		return true;
-	/* One side is closed and the other one has been reset for it. */
+	/* If one side is closed here, the other one has been reset. */
 	return g_socket_is_closed(connection->sides[CLIENT].socket) ||
 	       g_socket_is_closed(connection->sides[TARGET].socket);
 }
--- a/tests/soak/soak_fault.c
+++ b/tests/soak/soak_fault.c
@@ -55,8 +55,8 @@
  * continues: if they were dropped, the end of a fault would be lost, and the
  * endpoint would fail for the rest of the run.
  */
-static void member_mode(struct soak_fleet *fleet, struct soak_member *member,
-			const char *json)
+static void member_set_mode(struct soak_fleet *fleet,
+			    struct soak_member *member, const char *json)
 {
 	struct error error = {0};
 
@@ -78,7 +78,7 @@
 
 	member->deferred_modes = g_ptr_array_new_with_free_func(g_free);
 	for (guint i = 0; i < modes->len; i++)
-		member_mode(fleet, member, g_ptr_array_index(modes, i));
+		member_set_mode(fleet, member, g_ptr_array_index(modes, i));
 }
 
 static void member_continue(struct soak_fleet *fleet,
@@ -337,7 +337,7 @@
 	if (member && action)
 		action(fleet, member);
 	else if (member && mode)
-		member_mode(fleet, member, mode);
+		member_set_mode(fleet, member, mode);
 	else if (target == SOAK_TARGET_ALL_NODES && action)
 		nodes_apply(fleet, action);
 	else if (target == SOAK_TARGET_STORE && mode)
@@ -363,7 +363,7 @@
 		soak_proxy_set_link(proxy, link);
 }
 
-/* The fake store identifies a node by the source of its connections. */
+/* The fake store identifies a node by its source address, that of its proxy. */
 static void store_refuse_source(struct soak_fleet *fleet,
 				const struct soak_proxy *proxy)
 {
--- a/tests/soak/soak_fleet_start.c
+++ b/tests/soak/soak_fleet_start.c
@@ -9,14 +9,14 @@
 
 #define STEP_FLEET "soak.fleet"
 #define READY_TIMEOUT_US (10 * G_TIME_SPAN_SECOND)
-/* From the start of an endpoint until it registers itself. */
+/* Time from the start of an endpoint to its registration in the store. */
 #define REGISTER_DELAY_US (200 * G_TIME_SPAN_MILLISECOND)
 /*
  * Documented processing time of a plain endpoint, 30 ms: long enough for faults
  * to occur during it.
  */
 #define PLAIN_WORK_MS "30"
-/* Concurrent runs each reserve one of the ranges 127.N.0.0/16. */
+/* Each of several concurrent runs reserves one range 127.N.0.0/16. */
 #define FIRST_RANGE 10
 #define RANGES 200
 #define LOCK_PORT 20001
--- a/tests/soak/soak_pipe.c
+++ b/tests/soak/soak_pipe.c
@@ -70,7 +70,7 @@
 
 /*
  * Records how the sender ended. The first call counts, except that a reset
- * replaces a close: a sender that closed may later prove to be gone.
+ * replaces a close: a sender that closed its side may still reset later.
  */
 void soak_pipe_set_end(struct soak_pipe *pipe, enum soak_pipe_end end,
 		       int64_t due_us)
--- a/tests/soak/soak_run.c
+++ b/tests/soak/soak_run.c
@@ -92,7 +92,7 @@
 	return false;
 }
 
-/* Processes that were stopped last may still have to restart. */
+/* Waits for the processes that the last faults stopped to restart. */
 static void run_until_healthy(struct run *run)
 {
 	int64_t until_us = g_get_monotonic_time() + HEALTHY_US;
@@ -119,7 +119,7 @@
 	soak_view_end_load(run->view);
 }
 
-static bool run_play(struct run *run, struct error *error)
+static bool run_schedule(struct run *run, struct error *error)
 {
 	int64_t now_us;
 	bool is_ready;
@@ -157,7 +157,7 @@
 	run.fleet = soak_fleet_create(schedule, paths, run.view, run.evidence);
 	run.has_begun = g_new0(bool, schedule->faults->len + 1);
 	run.has_ended = g_new0(bool, schedule->faults->len + 1);
-	if (run_play(&run, error)) {
+	if (run_schedule(&run, error)) {
 		soak_fleet_stop(run.fleet);
 		soak_evidence_sort(run.evidence);
 	} else {
--- a/tests/soak/soak_schedule.c
+++ b/tests/soak/soak_schedule.c
@@ -337,7 +337,7 @@
 	g_array_set_size(schedule->faults, 0);
 }
 
-/* Replaces the faults by as many series, all of the given kinds. */
+/* Replaces the faults by the same number of series, of the given kinds only. */
 void soak_schedule_set_kinds(struct soak_schedule *schedule,
 			     const GArray *kinds)
 {
--- a/tests/soak_proxy_test.cc
+++ b/tests/soak_proxy_test.cc
@@ -40,8 +40,8 @@
 		target.reset(listener.accept());
 	}
 
-	/* Sends in both directions, so that the proxy has its connection. */
-	void talk()
+	/* Sends both ways, so that the proxy has connected to the target. */
+	void exchange_ping()
 	{
 		client->send("ping");
 		EXPECT_TRUE(target->wait_for("ping"));
@@ -82,7 +82,7 @@
 TEST_F(SoakProxy, ForwardsBytesAndTheEndOfEachSide)
 {
 	connect();
-	talk();
+	exchange_ping();
 	g_socket_shutdown(client->socket, FALSE, TRUE, nullptr);
 	EXPECT_TRUE(target->wait_closed());
 	target->send("after");
@@ -122,7 +122,7 @@
 TEST_F(SoakProxy, ForwardsAReset)
 {
 	connect();
-	talk();
+	exchange_ping();
 	target->reset();
 	EXPECT_TRUE(client->wait_closed());
 }
@@ -135,7 +135,7 @@
 TEST_F(SoakProxy, ForwardsAResetAfterAClose)
 {
 	connect();
-	talk();
+	exchange_ping();
 	client->close();
 	EXPECT_TRUE(target->wait_closed());
 	EXPECT_TRUE(run_until([&] {
@@ -162,7 +162,7 @@
 	soak_proxy_set_target(proxy, other.address().c_str());
 	client.reset(Connection::open(soak_proxy_address(proxy)));
 	target.reset(other.accept());
-	talk();
+	exchange_ping();
 }
 
 TEST_F(SoakProxy, DelaysBytesAndKeepsTheirOrder)
@@ -170,7 +170,7 @@
 	int64_t sent_us;
 
 	connect();
-	talk();
+	exchange_ping();
 	set(SOAK_LINK_DELAY, 20 * SOON_US);
 	sent_us = g_get_monotonic_time();
 	client->send("slow.");
@@ -184,7 +184,7 @@
 TEST_F(SoakProxy, ResetsOpenAndNewConnections)
 {
 	connect();
-	talk();
+	exchange_ping();
 	set(SOAK_LINK_RESET);
 	EXPECT_TRUE(client->wait_closed());
 	EXPECT_TRUE(target->wait_closed());
@@ -192,14 +192,14 @@
 	EXPECT_TRUE(client->wait_closed());
 	set(SOAK_LINK_NORMAL);
 	connect();
-	talk();
+	exchange_ping();
 }
 
 /* Bytes and ends sent during the cut are delivered after it. */
 TEST_F(SoakProxy, HoldsBytesOfTheClientDuringACut)
 {
 	connect();
-	talk();
+	exchange_ping();
 	set(SOAK_LINK_CUT_FORWARD);
 	client->send("held");
 	target->send("back");
@@ -240,7 +240,7 @@
 	}));
 	EXPECT_TRUE(g_socket_check_connect_result(socket, nullptr));
 	target.reset(listener.accept());
-	talk();
+	exchange_ping();
 	EXPECT_EQ(nullptr, g_socket_accept(listener.socket, nullptr, nullptr));
 }
 
@@ -255,7 +255,7 @@
 		set(SOAK_LINK_CUT_FORWARD);
 		set(SOAK_LINK_NORMAL);
 		connect();
-		talk();
+		exchange_ping();
 	}
 	run_idle();
 	EXPECT_EQ(nullptr, g_socket_accept(listener.socket, nullptr, nullptr));
@@ -265,7 +265,7 @@
 TEST_F(SoakProxy, IsIdleWhileBothSidesHaveEndedDuringACut)
 {
 	connect();
-	talk();
+	exchange_ping();
 	set(SOAK_LINK_CUT_BACKWARD);
 	g_socket_shutdown(client->socket, FALSE, TRUE, nullptr);
 	EXPECT_TRUE(target->wait_closed());
@@ -281,7 +281,7 @@
 TEST_F(SoakProxy, HoldsBytesOfTheTargetDuringACut)
 {
 	connect();
-	talk();
+	exchange_ping();
 	set(SOAK_LINK_CUT_BACKWARD);
 	client->send("there");
 	EXPECT_TRUE(target->wait_for("there"));
@@ -295,7 +295,7 @@
 TEST_F(SoakProxy, HoldsBothDirectionsDuringACut)
 {
 	connect();
-	talk();
+	exchange_ping();
 	set(SOAK_LINK_CUT_BOTH);
 	client->send("there");
 	target->send("back");
@@ -309,7 +309,7 @@
 TEST_F(SoakProxy, HoldsAnswersAndReleasesThem)
 {
 	connect();
-	talk();
+	exchange_ping();
 	set(SOAK_LINK_HOLD_ANSWERS);
 	client->send("there");
 	EXPECT_TRUE(target->wait_for("there"));
@@ -329,17 +329,17 @@
 	std::unique_ptr<Connection> old_target;
 
 	connect();
-	talk();
+	exchange_ping();
 	set(SOAK_LINK_SILENT);
 	old_client = std::move(client);
 	old_target = std::move(target);
 	connect();
-	talk();
+	exchange_ping();
 	set(SOAK_LINK_NORMAL);
 	old_client->send("lost");
 	old_target->close();
 	expect_nothing(*old_client, "pong");
-	talk();
+	exchange_ping();
 }
 
 TEST_F(SoakProxy, ForwardsOneByteAtATime)
@@ -347,7 +347,7 @@
 	std::vector<size_t> sizes;
 
 	connect();
-	talk();
+	exchange_ping();
 	set(SOAK_LINK_TRICKLE, SOON_US);
 	client->send("bytes");
 	EXPECT_TRUE(run_until([&] {
@@ -364,7 +364,7 @@
 {
 	connect();
 	set(SOAK_LINK_UNSOLICITED, SOON_US);
-	talk();
+	exchange_ping();
 	EXPECT_TRUE(client->wait_for("stray"));
 	EXPECT_EQ(0u, client->input.find("pongHTTP/1.1 200 OK\r\n"));
 	expect_nothing(*client, client->input);
--- a/tests/store_doubt_test.cc
+++ b/tests/store_doubt_test.cc
@@ -25,7 +25,7 @@
 
 /*
  * All entries expired during an outage of the store and are back 2 s after it.
- * A node that took them for gone would refuse every request meanwhile.
+ * A node that removed their endpoints would refuse every request until then.
  */
 TEST(StoreDoubt, AfterAnOutageOutlastsTheReturnOfEntries)
 {
@@ -41,7 +41,8 @@
 
 /*
  * An endpoint leaves 2.4 s after an outage, while entries are still in doubt.
- * It is given up a tenth of a second later, with all others of that outage.
+ * It is removed a tenth of a second later, with all others whose entries were
+ * in doubt since that outage.
  */
 TEST(StoreDoubt, EndsForAllOfAnOutageAtOnce)
 {
@@ -74,7 +75,7 @@
 namespace
 {
 
-/* The view of a node whose calls are answered; a sentinel lost the store. */
+/* The view of a node that reaches the store while a sentinel does not. */
 struct store_view CutSentinel(bool other_reaches)
 {
 	struct store_view view = {};
@@ -87,7 +88,10 @@
 
 } // namespace
 
-/* Guards against a sentinel's cut link that counts as an outage throughout. */
+/*
+ * A sentinel's link to the store is cut for long. Guards against a node that
+ * treats this as an outage although the store answers the node itself.
+ */
 TEST(StoreDoubt, OwnAnswersOverrideASentinel)
 {
 	struct store_view view = CutSentinel(false);
@@ -105,8 +109,8 @@
 }
 
 /*
- * Guards against a node that did not ask the store and takes expired entries
- * for gone.
+ * Guards against a node that removes endpoints whose entries only expired: it
+ * has no recent answer of the store itself, and a sentinel has lost the store.
  */
 TEST(StoreDoubt, WithoutOwnAnswersASentinelCounts)
 {
@@ -123,7 +127,7 @@
 	EXPECT_FALSE(store_doubt_is_active(&doubt, 16 * SECOND));
 }
 
-/* One of the two sentinels reaches the store: nodes need not ask engines. */
+/* As long as one of two sentinels reaches the store, no outage is suspected. */
 TEST(StoreDoubt, OneSentinelThatReachesIsEnough)
 {
 	struct store_view view = CutSentinel(true);
--- a/tests/store_fixture.h
+++ b/tests/store_fixture.h
@@ -30,9 +30,9 @@
 
 	void StopStore()
 	{
-		settle();
+		run_pending_events();
 		fake_server_destroy(server);
-		settle();
+		run_pending_events();
 		platform_store_destroy(store);
 		log_destroy(log);
 	}
--- a/tests/store_follower_test.cc
+++ b/tests/store_follower_test.cc
@@ -247,7 +247,7 @@
 	EXPECT_TRUE(run_until(
 		[&] { return store_follower_failures(follower) > 1; }));
 	mode("{\"down\": false}");
-	settle();
+	run_pending_events();
 	EXPECT_FALSE(is_reached);
 	store_follower_set_slow_retry(follower, false);
 	EXPECT_TRUE(run_until([&] { return is_reached; }));
@@ -258,7 +258,7 @@
 {
 	store_follower_set_active(follower, false);
 	platform_store_put(store, "servers/a", "newer");
-	settle();
+	run_pending_events();
 	EXPECT_EQ("one", known["servers/a"]);
 	store_follower_set_active(follower, true);
 	EXPECT_TRUE(run_until([&] { return known["servers/a"] == "newer"; }));
@@ -306,7 +306,7 @@
 	store_follower_destroy(other);
 }
 
-/* Guards against a read aborted because a slow link takes long for it. */
+/* Guards against aborting a read that is only slow because its link is. */
 TEST_F(StoreFollower, ReadsAnAnswerThatOutlastsItsTimeout)
 {
 	const int64_t past_timeout_us =
--- a/tests/table_fetch_test.cc
+++ b/tests/table_fetch_test.cc
@@ -78,8 +78,8 @@
 namespace
 {
 
-/* Returns how many of 87 nodes that ask within 0.1 s get a copy. */
-int Copies(size_t bytes)
+/* Returns how many of 87 nodes that request a copy within 0.1 s get one. */
+int CountCopies(size_t bytes)
 {
 	struct table_copy_limit limit = {};
 	int copies = 0;
@@ -101,7 +101,7 @@
  */
 TEST(TableFetch, GivesFewLargeCopiesAtOnce)
 {
-	EXPECT_EQ(4, Copies(283131));
-	EXPECT_EQ(1, Copies(2000000));
-	EXPECT_EQ(87, Copies(11448));
+	EXPECT_EQ(4, CountCopies(283131));
+	EXPECT_EQ(1, CountCopies(2000000));
+	EXPECT_EQ(87, CountCopies(11448));
 }
