--- a/adapters/endpoint_client.c
+++ b/adapters/endpoint_client.c
@@ -237,7 +237,7 @@
 		   endpoint_attempt_resume(&client->owner, &action->resume));
 }
 
-/* An attempt that ended just before its cancellation is no longer found. */
+/* Ignores an unknown attempt: it ended just before its cancellation. */
 static void client_apply_cancel(struct endpoint_client *client,
 				const struct action *action)
 {
--- a/adapters/http_call.h
+++ b/adapters/http_call.h
@@ -32,7 +32,7 @@
 struct http_call *http_call_create(const struct http_call_options *options);
 void http_call_destroy(struct http_call *call);
 
-/* A result of true means that the action ended the call: destroy it then. */
+/* A result of true means that the call has ended and must be destroyed. */
 bool http_call_answer(struct http_call *call,
 		      const struct action_call_answer *answer);
 bool http_call_refuse(struct http_call *call,
--- a/adapters/http_exchange.c
+++ b/adapters/http_exchange.c
@@ -60,7 +60,10 @@
 	g_free(exchange->peer);
 }
 
-/* References: one while open, one per pending operation and callback. */
+/*
+ * An open exchange holds one reference, and each pending operation and running
+ * callback another.
+ */
 static void exchange_ref(struct http_exchange *exchange)
 {
 	g_rc_box_acquire(exchange);
@@ -133,8 +136,8 @@
 
 /*
  * libsoup accepts an answer that is shorter than its Content-Length if the
- * connection was to be closed after it. Forwarded, a truncated answer would be
- * taken for a complete one.
+ * connection was to be closed after it. If such a truncated answer were
+ * forwarded, it would be taken for a complete one.
  */
 static bool exchange_is_truncated(const struct http_exchange *exchange)
 {
@@ -196,9 +199,9 @@
 }
 
 /*
- * An answer that ends with its connection cannot be distinguished from a
- * truncated one. Forwarded, a truncated answer would be taken for a complete
- * one.
+ * Returns false for an answer whose end is marked only by the close of the
+ * connection: a truncated answer looks the same and, if it were forwarded,
+ * would be taken for a complete one.
  */
 static bool exchange_has_framing(struct http_exchange *exchange)
 {
--- a/adapters/http_listener.c
+++ b/adapters/http_listener.c
@@ -9,23 +9,25 @@
 
 #define LISTEN_BACKLOG 512
 #define SWEEPS_PER_IDLE_TIMEOUT 8
-#define UPLOAD_IDLE_TIMEOUTS 10 /* time for a request, in idle timeouts */
+/* A request may take this many idle timeouts to arrive. */
+#define ARRIVAL_TIMEOUT_FACTOR 10
 #define US_PER_MS 1000
 #define UNACKNOWLEDGED_CLOSE_MS 60000
 #define KEEPALIVE_IDLE_S 20
 #define KEEPALIVE_INTERVAL_S 10
-#define REFUSED_MAX 64 /* refused connections that are still read */
+#define REFUSED_MAX 64 /* refused connections still being drained */
 #define REFUSED_DRAIN_BYTES 65536
 #define REFUSED_TIMEOUT_S 1
 #define CONNECTION_KEY "siskinlink-connection"
 
 /*
- * Lives as long as its socket. libsoup returns the socket of a message only if
- * it accepted the connection itself. It does return the same address object
- * that it was given, so the connection is attached to that object.
+ * One accepted connection, which lives as long as its socket. libsoup returns
+ * the socket of a message only if it accepted the connection itself. It does
+ * return the remote address object that it was given, so the connection is
+ * stored in the data of that object and found through it.
  */
 struct connection {
-	struct http_listener *listener; /* NULL once destroyed */
+	struct http_listener *listener; /* NULL once it is destroyed */
 	GSocket *socket;		/* not referenced */
 	GSocketAddress *remote;
 	int32_t call_count;
@@ -194,7 +196,7 @@
 		return false;
 	return now_us - connection->active_at_us > idle_us ||
 	       now_us - connection->accepted_at_us >
-		       idle_us * UPLOAD_IDLE_TIMEOUTS;
+		       idle_us * ARRIVAL_TIMEOUT_FACTOR;
 }
 
 /*
--- a/adapters/http_server.c
+++ b/adapters/http_server.c
@@ -7,9 +7,9 @@
 #include "adapters/http_server_state.h"
 #include "adapters/http_upload.h"
 
-/* Minimum limit of a collected answer, however small max_body_bytes is. */
+/* A collected answer may have this size even if max_body_bytes is smaller. */
 #define COLLECT_BYTES_MIN 1048576
-#define IDLE_TIMEOUT_MS 60000
+#define IDLE_TIMEOUT_MS 60000 /* without a byte in either direction */
 
 /* Delivers an event to the node. */
 void http_server_deliver(struct http_server *server, const struct event *event)
@@ -30,7 +30,7 @@
 			  NULL);
 }
 
-/* Logs, counts and answers a refusal that the node is not informed of. */
+/* Logs, counts and sends a refusal of a request that never reaches the node. */
 void http_server_refuse(struct http_server *server, SoupServerMessage *message,
 			const struct http_problem *problem)
 {
@@ -247,8 +247,8 @@
 }
 
 /*
- * The server ended the call itself: EVENT_CALL_GONE is delivered to the core
- * from the main loop, not from inside the core's own action.
+ * Schedules EVENT_CALL_GONE for a call that the server itself ended. The event
+ * is delivered from the main loop, because the core may be executing an action.
  */
 static void server_defer_ended_call(struct http_server *server, uint64_t number)
 {
--- a/adapters/http_stream.c
+++ b/adapters/http_stream.c
@@ -10,8 +10,8 @@
 	void *data;
 	bool chat;
 	bool ended;
-	bool full;	   /* passed to the last call of flow */
-	guint flow_source; /* 0: no call of flow is due */
+	bool full;	   /* last value passed to flow() */
+	guint flow_source; /* 0: no call of flow() is scheduled */
 	int64_t pending_bytes;
 	gulong wrote_handler;
 };
@@ -39,8 +39,9 @@
 }
 
 /*
- * Defers the call of flow to the main loop, because pending_bytes also changes
- * during the core's own actions.
+ * Schedules flow() if the stream became full or no longer is. flow() runs from
+ * the main loop, because pending_bytes also changes during the core's own
+ * actions.
  */
 static void stream_check_flow(struct http_stream *stream)
 {
--- a/adapters/http_stream.h
+++ b/adapters/http_stream.h
@@ -11,10 +11,10 @@
 G_BEGIN_DECLS
 
 /*
- * One answer as server-sent events. Counts the bytes that were passed to
- * libsoup and not yet written. Calls flow from the main loop with full = true
- * when they rise above buffer_bytes and with false when they fall below half
- * of it.
+ * One answer as server-sent events. The stream counts the bytes that were
+ * passed to libsoup and not yet written. It calls flow() from the main loop,
+ * with full = true once they exceed buffer_bytes and with full = false once
+ * they fall below half of it.
  */
 struct http_stream_options {
 	SoupServerMessage *message;
--- a/adapters/kv_client.c
+++ b/adapters/kv_client.c
@@ -42,8 +42,8 @@
 }
 
 /*
- * Base64 takes 4/3 of the bytes of a value, and a list may hold many small
- * entries.
+ * Allows twice the size of the largest value, because Base64 takes 4/3 of the
+ * bytes of a value and a list may hold many small entries.
  */
 static size_t max_answer_bytes(const struct kv_client *client)
 {
--- a/adapters/order_client.c
+++ b/adapters/order_client.c
@@ -33,8 +33,8 @@
 	g_free(call);
 }
 
-static void log_failure(const struct order_client *client,
-			const struct bounded_result *result)
+static void order_client_log_failure(const struct order_client *client,
+				     const struct bounded_result *result)
 {
 	if (client->log && !result->status)
 		log_write_error(client->log, LOG_LEVEL_WARN, "order_failed",
@@ -42,9 +42,9 @@
 }
 
 /*
- * Returns ORDER_UNCONFIRMED unless the status shows whether the engine has
- * accepted the order; the core then reads the state of the engine. Only a
- * status that explicitly rejects the order is ORDER_REFUSED.
+ * Only a status that explicitly rejects the order is ORDER_REFUSED. A status
+ * that does not show whether the engine accepted the order, or a missing
+ * answer, is ORDER_UNCONFIRMED, after which the core reads the engine's state.
  */
 static enum order_outcome
 order_outcome_of_status(const struct bounded_result *result)
@@ -70,7 +70,7 @@
 	struct event event = {.type = EVENT_ORDER};
 
 	call->request = NULL;
-	log_failure(client, result);
+	order_client_log_failure(client, result);
 	event.order.endpoint = call->endpoint;
 	event.order.outcome = order_outcome_of_status(result);
 	g_hash_table_steal(client->calls, call);
--- a/adapters/peer_link.c
+++ b/adapters/peer_link.c
@@ -374,7 +374,7 @@
 	}
 	socket_set_common(connection->socket);
 	socket_set_int(connection->socket, ZMQ_SNDHWM, MAX_SEND_QUEUE);
-	/* This socket is never read; a peer that sends fills one slot. */
+	/* Never read: what a peer sends here occupies one slot at most. */
 	socket_set_int(connection->socket, ZMQ_RCVHWM, 1);
 	if (zmq_connect(connection->socket, endpoint) != 0) {
 		error_set(error, ERROR_INVALID, STEP_SEND, address, "%s",
--- a/adapters/setting.h
+++ b/adapters/setting.h
@@ -28,7 +28,7 @@
 	REQUIRED_NEVER,
 	REQUIRED_ALWAYS,
 	REQUIRED_WITHOUT_GATEWAY,
-	REQUIRED_WITHOUT_STORE /* a gateway may use the platform's store */
+	REQUIRED_WITHOUT_STORE /* unless a gateway uses the platform's store */
 };
 
 struct setting {
--- a/adapters/settings.c
+++ b/adapters/settings.c
@@ -7,9 +7,9 @@
 #include <string.h>
 
 /*
- * Below this number of nodes, each node learns of the placements of the others
- * within 0.1 s, by the bound on standings, and chooses engines by itself
- * without a request to a home node.
+ * From this number of nodes on, a node requests grants from home nodes. Fewer
+ * nodes choose engines by themselves: the bound on standings lets each learn of
+ * the placements of all others within 0.1 s.
  */
 #define DEFAULT_HOME_FROM_NODES 16
 
--- a/adapters/sse_reader.c
+++ b/adapters/sse_reader.c
@@ -12,13 +12,13 @@
 	GString *type;
 	GString *data;
 	bool has_data;
-	bool after_cr; /* a line feed next belongs to the same line end */
+	bool after_cr; /* a line feed that follows ends no line */
 	bool stopped;
 	bool failed;
 };
 
 /*
- * Creates a reader that calls event for each complete event. An event of more
+ * Creates a reader that calls event() for each complete event. An event of more
  * than event_bytes_max bytes fails the stream. The caller owns the reader.
  */
 struct sse_reader *sse_reader_create(size_t event_bytes_max,
