--- a/fakes/backend_copy.c
+++ b/fakes/backend_copy.c
@@ -5,7 +5,10 @@
 
 /* Equals handle_ttl_s in the configurations that the tests write. */
 #define COPY_TTL_US (5 * G_USEC_PER_SEC)
-/* These limit how long and how many requests wait for a paused receiver. */
+/*
+ * Limits on the uploads of copies, which hang while the receiver is paused: the
+ * timeout of each, and how many can be in flight.
+ */
 #define SEND_TIMEOUT_S 2
 #define CONNECTIONS_MAX 64
 
@@ -79,7 +82,7 @@
 	g_hash_table_replace(copies->by_name, g_strdup(name), copy);
 }
 
-/* Handles POST /fake/copy: stores a copy, or removes one of an ended run. */
+/* Handles POST /fake/copy: stores a copy, or removes it once its run ended. */
 void backend_copies_receive(struct backend_copies *copies,
 			    SoupServerMessage *message)
 {
--- a/fakes/backend_copy.h
+++ b/fakes/backend_copy.h
@@ -25,7 +25,7 @@
 			 const char *request);
 int64_t backend_copies_count(struct backend_copies *copies);
 
-/* Called once per copy sent: whether the receiver has stored it. */
+/* Called once for each copy sent; is_stored tells whether it was stored. */
 typedef void (*backend_copy_done)(void *data, bool is_stored);
 
 /* Sends copies of this engine's runs to other engines. */
--- a/fakes/backend_run.c
+++ b/fakes/backend_run.c
@@ -44,7 +44,7 @@
 	g_object_unref(run->message);
 	g_free(run->id);
 	g_free(run->path);
-	g_free(run->backup);
+	g_free(run->backup_address);
 	g_free(run);
 }
 
@@ -61,8 +61,8 @@
 }
 
 /*
- * The caller disconnected before anything was sent. libsoup would notice only
- * at the first write.
+ * Ends the run of a caller that disconnected before anything was sent, which
+ * libsoup would notice only at the first write.
  */
 static void on_disconnect(void *data)
 {
@@ -90,13 +90,16 @@
 {
 	struct backend_run *run = data;
 
-	backend_copy_send(run->backend->sender, run->backup, run->id, run->id,
-			  run->next_event, NULL, NULL);
+	backend_copy_send(run->backend->sender, run->backup_address, run->id,
+			  run->id, run->next_event, NULL, NULL);
 	run->copy_timer = g_timeout_add(BACKUP_INTERVAL_MS, run_send_copy, run);
 	return G_SOURCE_REMOVE;
 }
 
-/* The answer is complete. Whether it reaches the caller is not known here. */
+/*
+ * Marks the answer as complete, journals the end of the run and has its backup
+ * copy removed. Whether the answer reaches the caller is not known here.
+ */
 static void run_complete(struct backend_run *run)
 {
 	run->answered = true;
@@ -105,7 +108,8 @@
 		return;
 	g_source_remove(run->copy_timer);
 	run->copy_timer = 0;
-	backend_copy_send_end(run->backend->sender, run->backup, run->id);
+	backend_copy_send_end(run->backend->sender, run->backup_address,
+			      run->id);
 }
 
 static void run_send_event(struct backend_run *run)
@@ -134,7 +138,7 @@
 		crash("after crash_after_events events", run->id);
 	if (run->next_event < backend->events) {
 		run_send_event(run);
-		if (run->events_sent == 1 && run->backup &&
+		if (run->events_sent == 1 && run->backup_address &&
 		    backend->real_copies)
 			run->copy_timer = g_timeout_add(BACKUP_START_MS,
 							run_send_copy, run);
@@ -183,8 +187,9 @@
 }
 
 /*
- * Whether the request fails: with failing every one, else error_percent of them
- * by id, the same ones at each engine.
+ * Returns whether the request is answered with an error: always if the mode
+ * failing is set, else for error_percent of the request ids. The hash of the id
+ * decides, so that a request fails at each engine or at none.
  */
 static bool is_failing(const struct backend *backend, const char *id)
 {
@@ -251,7 +256,7 @@
 	run->message = g_object_ref(message);
 	run->id = g_strdup(id);
 	run->path = g_strdup(path);
-	run->backup =
+	run->backup_address =
 		g_strdup(fake_message_header(message, HEADER("Kv-Backup")));
 	run->from_copy = fake_message_header(message, "Kv-From") != NULL;
 	g_ptr_array_add(backend->runs, run);
--- a/fakes/backend_state.h
+++ b/fakes/backend_state.h
@@ -12,7 +12,7 @@
 G_BEGIN_DECLS
 
 /*
- * State shared by the parts of the fake engine. fake_backend.c: requests and
+ * State shared by the parts of the fake backend. fake_backend.c: requests and
  * the modes. backend_run.c: runs, from start to end. backend_report.c: the load
  * report and the state for tests.
  */
@@ -33,8 +33,8 @@
 	int64_t pace_ms;	    /* between two events */
 	int64_t crash_after_events; /* of a run; 0: never */
 	int64_t error_percent;	    /* of requests answered 500 */
-	int64_t crash_after_ms;	    /* as after a wait in a queue */
-	int64_t own_status;	    /* of the answer after a run; 0: default */
+	int64_t crash_after_ms;	    /* delay of the reset if crashing */
+	int64_t own_status;	    /* answers with it after a run; 0: none */
 	int64_t answer_delay_ms;    /* before an answer or its first event */
 	int64_t leave_ms;	    /* until the exit; the first value counts */
 	int64_t leave_at_us;	    /* 0: not leaving */
@@ -54,8 +54,8 @@
 	bool no_room;		  /* refuses moves and copies: 503 */
 	bool unframed;		  /* streams without chunks, up to the close */
 	bool crashing;		  /* resets the connection of each request */
-	bool crash_before_answer; /* after the run of a plain request */
-	bool shed_silently;	  /* 503 without Not-Executed */
+	bool crash_before_answer; /* after the run, if it is a plain one */
+	bool shed_silently;	  /* runs nothing: 503, no Not-Executed */
 	bool mute;		  /* accepts requests and never answers */
 	bool real_copies;	  /* false: each requested copy exists */
 };
@@ -66,11 +66,11 @@
 	SoupServerMessage *message;
 	char *id;
 	char *path;
-	char *backup;	     /* address for copies; NULL: none requested */
-	bool from_copy;	     /* continues another engine's run */
-	bool answered;	     /* the answer is complete */
-	int64_t next_event;  /* number of the next event */
-	int64_t events_sent; /* by this engine */
+	char *backup_address; /* NULL: no backup copies */
+	bool from_copy;	      /* continues another engine's run */
+	bool answered;	      /* the answer is complete */
+	int64_t next_event;   /* number of the next event */
+	int64_t events_sent;  /* by this engine */
 	guint timer;
 	guint copy_timer;
 	GSource *close_watch; /* while the answer is delayed; else NULL */
--- a/fakes/engine_admin.c
+++ b/fakes/engine_admin.c
@@ -65,10 +65,11 @@
 }
 
 /*
- * Generations that applying an order would interrupt: those waiting or
- * running, and those whose reader has not received the complete answer.
+ * Returns the number of generations that applying an order would interrupt:
+ * those waiting or running, and those whose reader has not received the
+ * complete answer.
  */
-static int64_t engine_count_running(const struct fake_engine *engine)
+static int64_t engine_count_unfinished(const struct fake_engine *engine)
 {
 	int64_t count = 0;
 	GHashTableIter i;
@@ -94,7 +95,7 @@
 	json_writer_add_string(builder, "target",
 			       engine_model_target(engine->model));
 	json_writer_add_int(builder, "requests_running",
-			    engine_count_running(engine));
+			    engine_count_unfinished(engine));
 	json_builder_end_object(builder);
 	fake_message_answer_json(message, status, builder);
 }
--- a/fakes/engine_model.c
+++ b/fakes/engine_model.c
@@ -274,13 +274,13 @@
 		engine->step_end_us = MAX(engine->step_end_us, until_us);
 }
 
-/* A leaving engine rejects new requests and finishes those it has. */
+/* While leaving is set, rejects new requests but finishes those accepted. */
 void engine_model_set_leaving(struct engine_model *engine, bool leaving)
 {
 	engine->leaving = leaving;
 }
 
-/* Multiplies the duration of steps by factor, from the next step on. */
+/* Sets the factor on the duration of steps, from the next step on. */
 void engine_model_set_slowdown(struct engine_model *engine, double factor)
 {
 	engine->slowdown = factor;
--- a/fakes/engine_model.h
+++ b/fakes/engine_model.h
@@ -11,12 +11,12 @@
 G_BEGIN_DECLS
 
 /*
- * Simulates a model engine in virtual time: continuous batching in steps,
- * memory counted in tokens, preemption by recomputation when memory is full,
- * priorities, a prefix cache, cancellation, a delayed load report, crash and
- * stall, and orders with or without a fencing check. The model does no
- * I/O and reads no clock: the caller passes the time to each call. The fake
- * engine's daemon and the benches are such callers.
+ * Simulates a model engine: continuous batching in steps, memory counted in
+ * tokens, preemption by recomputation when memory is full, priorities, a prefix
+ * cache, cancellation, a delayed load report, crash and stall, and orders with
+ * or without a fencing check. The model does no I/O and reads no clock: the
+ * caller passes the time to each call. The fake engine runs it in real time or
+ * faster, the benchmarks in virtual time.
  */
 struct engine_model_options {
 	int64_t capacity_tokens;
--- a/fakes/engine_step.c
+++ b/fakes/engine_step.c
@@ -10,7 +10,7 @@
 #define ADMISSION_RESERVE_DIVISOR 100
 #define JITTER_PERCENT 3 /* of a step's duration, in both directions */
 
-/* splitmix64, see Steele, Lea and Flood, 2014. */
+/* Returns a random number by splitmix64 (Steele, Lea and Flood, 2014). */
 static uint64_t engine_random(struct engine_model *engine)
 {
 	uint64_t z = engine->random_state += 0x9e3779b97f4a7c15;
@@ -20,7 +20,10 @@
 	return z ^ (z >> 31);
 }
 
-/* Prompt tokens found in the prefix cache; at least one is always computed. */
+/*
+ * Returns how many prompt tokens are found in the prefix cache, at most all but
+ * one: the last token of a prompt is always computed.
+ */
 static int64_t engine_cached_tokens(const struct engine_model *engine,
 				    const struct engine_model_request *request)
 {
@@ -68,8 +71,8 @@
 }
 
 /*
- * Preempts the generation of the lowest priority, of several the one admitted
- * last, and puts it back into the queue.
+ * Preempts the generation of the lowest priority and puts it back into the
+ * queue. Among equal priorities, the one admitted last is preempted.
  */
 static void engine_preempt(struct engine_model *engine, int64_t now_us)
 {
--- a/fakes/engine_stream.c
+++ b/fakes/engine_stream.c
@@ -87,7 +87,7 @@
 
 /*
  * Attaches a reader and sends it the generation from token `from` on. A
- * previous reader is detached, and a running hold ends.
+ * previous reader is detached, and the hold timer is stopped.
  */
 void engine_stream_attach(struct engine_stream *stream,
 			  SoupServerMessage *reader, int64_t from)
--- a/fakes/engine_stream.h
+++ b/fakes/engine_stream.h
@@ -18,7 +18,8 @@
 /*
  * One generation of the fake engine and its reader; there is at most one
  * reader at a time. After the reader finishes or disconnects, the generation is
- * held for the time that the request asked for.
+ * kept for hold_ms, which the request sets, so that a new reader can attach;
+ * then on_hold_expired is called.
  */
 struct engine_stream {
 	uint64_t id;
--- a/fakes/fake_backend.c
+++ b/fakes/fake_backend.c
@@ -20,7 +20,11 @@
 	fake_message_answer_text(message, status, "");
 }
 
-/* Takes the copy named IP:PORT/NAME and returns whether it existed. */
+/*
+ * Removes the copy named IP:PORT/NAME from this engine's copies and returns
+ * whether it existed. With no_copy no copy exists; otherwise, without
+ * real_copies, every copy does.
+ */
 static bool backend_take_copy(struct backend *backend, const char *from,
 			      const char *id)
 {
@@ -76,7 +80,10 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Journals and counts a run without running it, then resets the connection. */
+/*
+ * Journals and counts a run without running it, then resets the connection,
+ * after crash_after_ms, as an engine that crashes while the request is queued.
+ */
 static void journal_and_reset(struct backend *backend,
 			      SoupServerMessage *message, const char *id,
 			      bool from_copy)
@@ -133,19 +140,19 @@
 		backend_run_begin(backend, message, id, path);
 }
 
-/* A requested copy to another engine; its caller waits until it is stored. */
+/* A POST /v1/kv-move that is answered once the target has stored the copy. */
 struct move {
 	SoupServerMessage *message;
 	char *handle;
-	int64_t created;
+	int64_t event_count; /* events in the copy */
 };
 
 static void answer_move(SoupServerMessage *message, const char *handle,
-			int64_t created)
+			int64_t event_count)
 {
 	g_autofree char *text = g_strdup_printf(
 		"{\"handle\":\"%s\",\"created\":%" G_GINT64_FORMAT "}", handle,
-		created);
+		event_count);
 
 	fake_message_answer_text(message, 200, text);
 }
@@ -155,7 +162,7 @@
 	struct move *move = data;
 
 	if (is_stored)
-		answer_move(move->message, move->handle, move->created);
+		answer_move(move->message, move->handle, move->event_count);
 	else
 		fake_message_answer_text(move->message, 503, "no room");
 	soup_server_message_unpause(move->message);
@@ -184,7 +191,7 @@
 		move->handle =
 			g_strdup_printf("%s-h%" G_GINT64_FORMAT, backend->id,
 					backend->move_count);
-		move->created = run->next_event;
+		move->event_count = run->next_event;
 		soup_server_message_pause(message);
 		backend_copy_send(backend->sender, target, move->handle,
 				  run->id, run->next_event, on_move_done, move);
--- a/fakes/fake_engine.c
+++ b/fakes/fake_engine.c
@@ -133,7 +133,10 @@
 				   fake_engine_now_us(engine));
 }
 
-/* Runs a completion and streams it, or answers 503 without running it. */
+/*
+ * Runs a completion and streams it, or answers 503 without running it. Aborts
+ * the process if the prompt contains the text of crash_on.
+ */
 static void engine_run_completion(struct fake_engine *engine,
 				  SoupServerMessage *message,
 				  const struct engine_completion *completion)
--- a/fakes/fake_server.c
+++ b/fakes/fake_server.c
@@ -231,7 +231,10 @@
 	g_free(server);
 }
 
-/* Answers given while the link is stalled are delayed, not dropped. */
+/*
+ * Runs the handler of a request. If the link is stalled, the answer is held
+ * until the stall ends, except below /fake.
+ */
 static void dispatch(SoupServer *soup G_GNUC_UNUSED, SoupServerMessage *message,
 		     const char *path, GHashTable *query G_GNUC_UNUSED,
 		     gpointer data)
--- a/fakes/fake_service.c
+++ b/fakes/fake_service.c
@@ -7,7 +7,7 @@
 struct run {
 	char *path; /* of the first request */
 	char *body_sha256;
-	int64_t runs; /* number of runs */
+	int64_t runs;
 };
 
 struct fake_service {
@@ -39,9 +39,10 @@
 	g_free(run);
 }
 
-/* Counts a call as run, also if its answer is lost later. */
-static struct run *service_run(struct fake_service *service,
-			       SoupServerMessage *message, const char *path)
+/* Counts a run of the call's body, even if the answer is lost later. */
+static struct run *service_record_run(struct fake_service *service,
+				      SoupServerMessage *message,
+				      const char *path)
 {
 	SoupMessageBody *body = soup_server_message_get_request_body(message);
 	g_autoptr(GBytes) bytes = soup_message_body_flatten(body);
@@ -101,12 +102,12 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Any path: runs the call and answers with the number of runs of its body. */
+/* Handles any other path: runs the call, returns the runs of its body. */
 static void handle_call(void *data, SoupServerMessage *message,
 			const char *path)
 {
 	struct fake_service *service = data;
-	const struct run *run = service_run(service, message, path);
+	const struct run *run = service_record_run(service, message, path);
 	JsonBuilder *builder = json_builder_new();
 
 	add_run(builder, run, path, "run");
--- a/fakes/kv_gateway.h
+++ b/fakes/kv_gateway.h
@@ -30,7 +30,7 @@
 	char *key;
 	char *range_end;
 	int64_t start_revision;
-	uint64_t position; /* in the history, of the next search */
+	uint64_t position; /* of the next change to look at in the history */
 };
 
 bool kv_gateway_find_call(const char *path, enum kv_call *call);
--- a/fakes/kv_server.h
+++ b/fakes/kv_server.h
@@ -22,7 +22,7 @@
 	int64_t slow_ms;	/* delay of each answer, except to a watch */
 	int64_t lose_answers;	/* apply this many writes unanswered */
 	int64_t expire_lease;	/* revoke the lease with this id at once */
-	int64_t watch_delay_ms; /* delay of each change to the watches */
+	int64_t watch_delay_ms; /* maximum delay of changes to watches */
 	bool close_watches;	/* close the open watches once */
 };
 
--- a/fakes/load_history.h
+++ b/fakes/load_history.h
@@ -9,7 +9,7 @@
 
 G_BEGIN_DECLS
 
-/* A ring of an engine's recent loads, from which delayed reports are read. */
+/* A ring buffer of an engine's recent loads, for delayed load reports. */
 struct load_history;
 
 struct load_history *load_history_create(int64_t span_us);
--- a/fakes/platform_store.c
+++ b/fakes/platform_store.c
@@ -118,7 +118,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* The last change of a key up to a revision; NULL if there is none. */
+/* Returns the last change of a key up to a revision; NULL if there is none. */
 static const struct item *latest_at(const struct platform_store *store,
 				    const char *key, int64_t revision)
 {
@@ -144,7 +144,7 @@
 /*
  * Writes a key, or deletes it if value is NULL, and answers the watches that
  * wait for it, unless the store is down or silent. Takes ownership of value
- * (base64). Lease_id is the lease of the key, 0 for none.
+ * (base64). lease_id is the lease of the key, 0 for none.
  */
 void platform_store_write(struct platform_store *store, const char *key,
 			  char *value, int64_t lease_id)
@@ -187,7 +187,7 @@
 	return text ? text : "";
 }
 
-/* The revision that a read with this query sees. */
+/* Returns the revision that a read with this query sees. */
 static int64_t read_revision(const struct platform_store *store,
 			     GHashTable *query)
 {
@@ -280,7 +280,8 @@
 	fake_message_answer_json(message, 200, builder);
 }
 
-static void on_put(void *data, SoupServerMessage *message, const char *path)
+static void on_put_or_delete(void *data, SoupServerMessage *message,
+			     const char *path)
 {
 	struct platform_store *store = data;
 	JsonObject *object = fake_message_read_json(message);
@@ -323,7 +324,8 @@
 	while (store->watches->len > 0) {
 		struct watch *watch = g_ptr_array_index(store->watches, 0);
 
-		fake_message_answer_text(watch->message, status, "cut");
+		fake_message_answer_text(watch->message, status,
+					 "watch aborted");
 		soup_server_message_unpause(watch->message);
 		g_ptr_array_remove(store->watches, watch);
 	}
@@ -373,8 +375,9 @@
 				   platform_store_on_lease_renew);
 	platform_store_add_handler(store, server, "/v1/kv-lease-end",
 				   platform_store_on_lease_end);
-	fake_server_add_handler(server, "/fake/put", on_put, store);
-	fake_server_add_handler(server, "/fake/delete", on_put, store);
+	fake_server_add_handler(server, "/fake/put", on_put_or_delete, store);
+	fake_server_add_handler(server, "/fake/delete", on_put_or_delete,
+				store);
 	fake_server_add_handler(server, "/fake/calls", on_call_count, store);
 	platform_store_add_switches(store, server);
 	return store;
@@ -400,7 +403,7 @@
 }
 
 /*
- * Writes a key without a lease, as the operator and the engines do. Value is
+ * Writes a key without a lease, as the operator and the engines do. value is
  * plain text and is stored as base64.
  */
 void platform_store_put(struct platform_store *store, const char *key,
--- a/fakes/platform_store_state.h
+++ b/fakes/platform_store_state.h
@@ -52,20 +52,20 @@
 	GHashTable *leases; /* id to struct lease */
 	int64_t next_lease;
 	int64_t revision;
-	int64_t oldest_revision; /* watches from before it get 410 */
+	int64_t oldest_revision; /* watches from older ones get 410 */
 	int64_t call_count;
-	int64_t last_wait_ms;	 /* of the last watch */
+	int64_t last_wait_ms;	 /* that the last watch asked for */
 	bool down;		 /* all calls get 503 */
 	bool silent;		 /* calls are accepted and never answered */
 	bool drop_history;	 /* "forget", once: old changes are dropped */
-	bool lose_answers;	 /* "lose": changes are applied, not answered */
+	bool lose_answers;	 /* "lose": applies changes without an answer */
 	bool hold_next;		 /* "hold", once: holds the next change */
 	bool apply_held;	 /* "release", once: applies held changes */
 	GPtrArray *held_changes; /* JsonObject */
 	bool pause_leases; /* "pause": leases do not expire while it is down */
-	bool expire_all;   /* "lapse", once: ends leases, engine entries */
+	bool expire_all;   /* "lapse", once: ends leases, engines' entries */
 	int64_t slow_ms;   /* each call is handled after this delay */
-	int64_t stale_ms;  /* age of the data that allow_stale reads get */
+	int64_t stale_ms;  /* minimum age of what allow_stale reads see */
 	char *refused_addresses; /* "refused": comma-separated, or NULL */
 	char *refusal;		 /* how they are refused; NULL: 503 */
 	struct fake_mode modes[MODE_COUNT];
