--- a/adapters/gateway/attempt.c
+++ b/adapters/gateway/attempt.c
@@ -17,7 +17,7 @@
 	char *echo_value;
 	bool has_no_body;
 	bool answer_matches; /* the answer being read is for this request */
-	bool is_over;	     /* whole or failed was called, or destroyed */
+	bool is_over;	     /* complete or failed was called, or destroyed */
 	bool is_connected;
 	bool has_trailing_bytes; /* received after the complete answer */
 };
@@ -85,7 +85,7 @@
 			return true;
 		attempt->is_over = true;
 		attempt->has_trailing_bytes = has_more_bytes;
-		attempt->events->whole(attempt->data);
+		attempt->events->complete(attempt->data);
 		return false;
 	case HTTP_READER_BAD:
 	case HTTP_READER_TOO_LARGE:
--- a/adapters/gateway/attempt.h
+++ b/adapters/gateway/attempt.h
@@ -34,14 +34,14 @@
 	/* Part of the body; may be NULL if only the head is needed. */
 	void (*body)(void *data, const char *bytes, size_t size);
 	/* The answer is complete. */
-	void (*whole)(void *data);
+	void (*complete)(void *data);
 	/* ERROR_UNREACHABLE: nothing was sent to the endpoint. */
 	void (*failed)(void *data, const struct error *error);
 };
 
 struct attempt;
 
-/* The attempt is over after whole or failed; its owner then destroys it. */
+/* The attempt is over after complete or failed; its owner then destroys it. */
 struct attempt *attempt_start(const struct attempt_options *options,
 			      const struct attempt_events *events, void *data,
 			      struct error *error);
--- a/adapters/gateway/exchange.c
+++ b/adapters/gateway/exchange.c
@@ -120,7 +120,7 @@
  * off, so that no caller mistakes it for a complete one; otherwise the request
  * is refused with 502.
  */
-void exchange_break(struct exchange *exchange, const char *reason)
+void exchange_abort(struct exchange *exchange, const char *reason)
 {
 	struct caller *caller = exchange->caller;
 
--- a/adapters/gateway/exchange_answer.c
+++ b/adapters/gateway/exchange_answer.c
@@ -280,7 +280,7 @@
 	if (leg == exchange->next)
 		exchange_drop_next(exchange, "gap in event ids");
 	else
-		exchange_break(exchange, "events_do_not_follow");
+		exchange_abort(exchange, "events_do_not_follow");
 }
 
 static void on_body(void *data, const char *bytes, size_t size)
@@ -358,7 +358,7 @@
 			     exchange->longest_pause_us);
 }
 
-static void on_whole(void *data)
+static void on_complete(void *data)
 {
 	struct leg *leg = data;
 	struct exchange *exchange = leg->exchange;
@@ -408,6 +408,6 @@
 const struct attempt_events exchange_attempt_events = {
 	.head = on_head,
 	.body = on_body,
-	.whole = on_whole,
+	.complete = on_complete,
 	.failed = on_failed,
 };
--- a/adapters/gateway/exchange_move.c
+++ b/adapters/gateway/exchange_move.c
@@ -22,7 +22,7 @@
  * one engine leave together; without the count they would all select the same
  * target and queue on its link until their engine is gone.
  */
-static void move_count(struct exchange *exchange, int32_t sign)
+static void move_count_load(struct exchange *exchange, int32_t sign)
 {
 	struct endpoint *target = registry_find(exchange->gateway->registry,
 						exchange->move.target_id);
@@ -112,7 +112,7 @@
 		  exchange->leg->endpoint_id, "to", move->target_id, NULL);
 }
 
-static void on_whole(void *data)
+static void on_complete(void *data)
 {
 	struct exchange *exchange = data;
 	struct move_answer answer = {NULL};
@@ -137,7 +137,7 @@
 static const struct attempt_events move_events = {
 	.head = on_head,
 	.body = on_body,
-	.whole = on_whole,
+	.complete = on_complete,
 	.failed = on_failed,
 };
 
@@ -199,7 +199,7 @@
 	move->target_known_us = target->known_us;
 	move->body = g_byte_array_new();
 	move->tokens = exchange->leg->tokens;
-	move_count(exchange, 1);
+	move_count_load(exchange, 1);
 	move_send(exchange);
 }
 
@@ -210,7 +210,7 @@
 
 	attempt_destroy(g_steal_pointer(&move->call));
 	if (move->target_id)
-		move_count(exchange, -1);
+		move_count_load(exchange, -1);
 	g_clear_pointer(&move->body, g_byte_array_unref);
 	g_clear_pointer(&move->target_id, g_free);
 	g_clear_pointer(&move->target_address, g_free);
--- a/adapters/gateway/exchange_recover.c
+++ b/adapters/gateway/exchange_recover.c
@@ -139,8 +139,8 @@
 /*
  * A request may crash every engine that runs it, and each take-over would pass
  * it to the next engine. Counts the engines that failed without a notice during
- * the run and announces each to all nodes. After two of them a repeated request
- * is refused; the run itself gets no fourth engine.
+ * the run and announces each to all nodes. After two such failures the request
+ * is refused when the caller repeats it; the run itself gets no fourth engine.
  */
 static void count_crash(struct exchange *exchange, enum attempt_result result)
 {
@@ -309,7 +309,7 @@
 		exchange_send_new(exchange);
 		break;
 	case RECOVERY_TAKE_OVER:
-		g_assert(place.endpoint); /* requires copy_is_ready */
+		g_assert(place.endpoint); /* as copy_is_ready was set */
 		take_over(exchange, &place, attempt_result_name(result));
 		break;
 	case RECOVERY_REFUSE:
@@ -321,7 +321,7 @@
 		exchange_refuse(exchange, 502, -1, attempt_result_name(result));
 		break;
 	case RECOVERY_BREAK:
-		exchange_break(exchange, attempt_result_name(result));
+		exchange_abort(exchange, attempt_result_name(result));
 		break;
 	}
 	copy_place_clear(&place);
@@ -376,7 +376,7 @@
 		(leg && leg->attempt && attempt_may_have_sent(leg->attempt));
 
 	if (exchange->answer_begun)
-		exchange_break(exchange, "deadline");
+		exchange_abort(exchange, "deadline");
 	else
 		exchange_refuse(exchange, may_run ? 504 : 503, -1, "deadline");
 }
--- a/adapters/gateway/exchange_state.h
+++ b/adapters/gateway/exchange_state.h
@@ -113,7 +113,7 @@
 /* exchange.c */
 void exchange_refuse(struct exchange *exchange, int32_t status,
 		     int64_t retry_after_us, const char *reason);
-void exchange_break(struct exchange *exchange, const char *reason);
+void exchange_abort(struct exchange *exchange, const char *reason);
 void exchange_end(struct exchange *exchange, const char *outcome,
 		  const char *reason);
 bool exchange_is_generation(const struct exchange *exchange);
--- a/adapters/gateway/gateway.c
+++ b/adapters/gateway/gateway.c
@@ -181,8 +181,8 @@
 
 /*
  * Polls the reports of endpoints that may be leaving without notice: those that
- * run requests of this node while the store is unreachable, and those whose
- * removal is in doubt, as they still get requests.
+ * run requests or keep copies of this node while the store is unreachable, and
+ * those whose removal is in doubt, as they still get requests.
  */
 static void gateway_step_reports(struct gateway *gateway)
 {
--- a/adapters/gateway/gateway_home.c
+++ b/adapters/gateway/gateway_home.c
@@ -11,8 +11,8 @@
 
 /*
  * An answer takes one round trip, a few ms, and the home's processing time.
- * Waiting this long in vain delays a caller less than two prompts ahead of its
- * own at an engine.
+ * Waiting this long in vain delays a caller less than if its prompt were queued
+ * behind two others at an engine.
  */
 #define HOME_ANSWER_TIMEOUT_US (100 * 1000)
 
--- a/adapters/gateway/gateway_peers.c
+++ b/adapters/gateway/gateway_peers.c
@@ -13,7 +13,7 @@
 /* Missed standings after which callers are not directed to a node. */
 #define SILENT_PERIODS 5
 
-/* Missed standings after which a sentinel is not waited for. */
+/* Missed standings after which a sentinel is not relied on. */
 #define SENTINEL_SILENT_PERIODS 3
 
 /*
--- a/adapters/gateway/leg.c
+++ b/adapters/gateway/leg.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 /*
- * Output that is counted ahead: what a generation produces while others are
- * placed, in about three seconds.
+ * Future output tokens that are counted for a generation: what it produces in
+ * about three seconds, while others are placed.
  */
 #define PLANNED_AHEAD_TOKENS 384
 
@@ -32,7 +32,7 @@
 	return registry_find(leg->exchange->gateway->registry, leg->backup_id);
 }
 
-static void leg_count(struct leg *leg, int32_t sign)
+static void leg_count_load(struct leg *leg, int32_t sign)
 {
 	struct endpoint *endpoint = leg_endpoint(leg);
 	struct endpoint *backup = leg_backup(leg);
@@ -55,9 +55,9 @@
 {
 	if (leg->unread_tokens == 0)
 		return;
-	leg_count(leg, -1);
+	leg_count_load(leg, -1);
 	leg->unread_tokens = 0;
-	leg_count(leg, 1);
+	leg_count_load(leg, 1);
 }
 
 /*
@@ -67,14 +67,14 @@
 void leg_set_tokens(struct leg *leg, int64_t tokens)
 {
 	struct gateway *gateway = leg->exchange->gateway;
-	bool was_changed = gateway->announce_pending;
-	bool was_untold = gateway->home_announce_pending;
+	bool announce_was_pending = gateway->announce_pending;
+	bool home_announce_was_pending = gateway->home_announce_pending;
 
-	leg_count(leg, -1);
+	leg_count_load(leg, -1);
 	leg->tokens = tokens;
-	leg_count(leg, 1);
-	gateway->announce_pending = was_changed;
-	gateway->home_announce_pending = was_untold;
+	leg_count_load(leg, 1);
+	gateway->announce_pending = announce_was_pending;
+	gateway->home_announce_pending = home_announce_was_pending;
 }
 
 /*
@@ -161,7 +161,7 @@
 	if (!copy_address)
 		leg->unread_tokens = exchange->parsed_request.prompt_tokens;
 	leg_choose_backup(leg);
-	leg_count(leg, 1);
+	leg_count_load(leg, 1);
 	endpoint_health_count_placed(&endpoint->health);
 	return leg;
 }
@@ -172,7 +172,7 @@
 	if (!leg)
 		return;
 	attempt_destroy(leg->attempt);
-	leg_count(leg, -1);
+	leg_count_load(leg, -1);
 	event_scanner_destroy(leg->events);
 	g_free(leg->endpoint_id);
 	g_free(leg->endpoint_address);
--- a/adapters/gateway/report_poll.c
+++ b/adapters/gateway/report_poll.c
@@ -81,7 +81,7 @@
 static const struct attempt_events poll_request_events = {
 	.head = on_head,
 	.body = on_body,
-	.whole = on_complete,
+	.complete = on_complete,
 	.failed = on_failed,
 };
 
--- a/adapters/gateway/store_calls.c
+++ b/adapters/gateway/store_calls.c
@@ -133,7 +133,7 @@
 static const struct attempt_events attempt_events = {
 	.head = on_head,
 	.body = on_body,
-	.whole = on_complete,
+	.complete = on_complete,
 	.failed = on_failed,
 };
 
--- a/adapters/gateway/store_follower.c
+++ b/adapters/gateway/store_follower.c
@@ -191,7 +191,7 @@
 
 static const struct attempt_events probe_events = {
 	.head = on_probe_head,
-	.whole = on_probe_complete,
+	.complete = on_probe_complete,
 	.failed = on_probe_failed,
 };
 
@@ -341,7 +341,7 @@
 	bool is_read;
 
 	if (follower->status == STATUS_GONE) {
-		/* The store no longer has the changes since: list again. */
+		/* The store dropped changes after the revision: list. */
 		follower->revision = 0;
 		follower_clear_list(follower);
 		follower_stop_call(follower);
@@ -377,7 +377,7 @@
 static const struct attempt_events attempt_events = {
 	.head = on_head,
 	.body = on_body,
-	.whole = on_complete,
+	.complete = on_complete,
 	.failed = on_failed,
 };
 
@@ -495,7 +495,7 @@
  * Sets whether to retry seldom, because another node retries often while the
  * store is unreachable. If all nodes retried often, the store would get most
  * calls while it can handle least, and each call is billed. Setting it to
- * false, once the other node has reached the store, retries after the first
+ * false, once the other node has reached the store, retries after the shortest
  * backoff.
  */
 void store_follower_set_slow_retry(struct store_follower *follower,
--- a/core/gateway/announce_pace.c
+++ b/core/gateway/announce_pace.c
@@ -1,13 +1,17 @@
 #include "core/gateway/announce_pace.h"
 
-/* All nodes know of a placement before the next one is likely to come. */
+/*
+ * Time between regular rounds, and delay of a round after a change: all nodes
+ * know of a placement before the next one is likely to come.
+ */
 #define ROUND_INTERVAL_US (250 * 1000)
 #define CHANGE_DELAY_US (40 * 1000)
 
 /*
- * Records that a node sends, and so also receives. Each takes processor time of
- * both nodes, and bytes between failure domains, which cost money. Seven other
- * nodes get ten rounds a second.
+ * Records that a node sends a second; as all nodes do the same, it receives as
+ * many. Each record takes processor time of both nodes, and traffic between
+ * failure domains costs money. With seven other nodes this allows ten rounds a
+ * second.
  */
 #define RECORDS_PER_S 75.0
 
--- a/core/gateway/announce_pace.h
+++ b/core/gateway/announce_pace.h
@@ -9,12 +9,12 @@
 G_BEGIN_DECLS
 
 /*
- * Limits how often a node announces to all other nodes what it holds: at
- * regular intervals, and soon after a change, but never more records a second
- * than a node can handle beside its requests. Without the bound the work grows
- * with the number of nodes and with their requests: in an overload nodes spend
- * their processors on announcements, forward the output of engines late, and
- * the retries of callers keep the overload going.
+ * Limits how often a node announces its load to all other nodes: at regular
+ * intervals, and soon after a change, but never more records a second than a
+ * node can handle beside its requests. Without the bound the work grows with
+ * the number of nodes and with their requests: in an overload nodes spend their
+ * processors on announcements, forward the output of engines late, and the
+ * retries of callers keep the overload going.
  */
 struct announce_pace {
 	int64_t next_round_us; /* when the next round is due */
--- a/core/gateway/endpoint_choice.c
+++ b/core/gateway/endpoint_choice.c
@@ -98,9 +98,9 @@
 /*
  * Returns the memory that generations use on leaving engines, as a fraction of
  * the memory of all engines that stay. These generations move within a second
- * or two. Room that new requests take until then is missing for them: one
- * engine after the other refuses them, and they are cut off. The caller of a
- * new request can retry it; a half-finished report can't be retried.
+ * or two. If new requests take the room until then, one engine after the other
+ * refuses the generations, and their streams are cut off. The caller of a new
+ * request can retry it; a generation that is half done can't be retried.
  */
 static double leaving_share(const struct endpoint_criteria *criteria,
 			    guint usable, double leaving_tokens)
--- a/core/gateway/evacuation.c
+++ b/core/gateway/evacuation.c
@@ -17,26 +17,27 @@
 #define LEAVE_FROM_US (500 * MS_US)
 
 /*
- * Until then a run waits for a moment at which the other engine is not known
- * to read a prompt. Beside prompts the run resumes so late that its caller
- * notices the pause.
+ * Up to this time after the notice, a run waits for a moment at which the other
+ * engine is not known to read a prompt. While that engine reads prompts, the
+ * run would resume so late that its caller notices the pause.
  */
 #define LEAVE_UNTIL_US (1200 * MS_US)
 
 /*
- * Time after a run's first event by which its backup usually exists. A backup
- * that is asked for earlier is taken for missing, and the run's own engine has
- * to copy the run in the time that is left.
+ * Time after a run's first event by which its backup usually exists. If the
+ * backup engine is asked earlier, the backup is taken for missing, and the
+ * run's own engine has to copy the run in the time that is left.
  */
 #define BACKUP_AGE_US (600 * MS_US)
 
 /*
- * Before these times nothing of a run can have reached the engine named for its
- * backup, and an engine asked to continue from nothing may begin the run anew:
- * a request that crashed its engine within a few ms also ran at the next one,
- * and a third was asked. BACKUP_EARLIEST_US counts from the first event.
- * BACKUP_UNSEEN_US is for a run whose events, if any, did not arrive because of
- * a cut link: the engine first reads the prompt, and then sends the copy.
+ * Before these times no part of a run can have reached its backup engine. The
+ * backup engine is not asked until then, because an engine without a copy may
+ * start the run from the beginning: a request that crashed its engine within a
+ * few ms also ran at the next one, and a third was asked. BACKUP_EARLIEST_US
+ * counts from the first event. BACKUP_UNSEEN_US is for a run of which no event
+ * arrived because the link was cut; it allows for reading the prompt and then
+ * sending the copy.
  */
 #define BACKUP_EARLIEST_US (300 * MS_US)
 #define BACKUP_UNSEEN_US (1000 * MS_US)
@@ -60,9 +61,9 @@
 #define COPY_RETRY_US (120 * MS_US)
 
 /*
- * Copy attempts before the run just waits for the end of its engine: as many as
- * there is time for after a notice. Where memory is scarce most engines refuse,
- * and have room a little later.
+ * Copy attempts for one run, as many as there is time for after a notice; after
+ * them the run stays until its engine ends. Where memory is scarce most engines
+ * refuse a copy, and have room a little later.
  */
 #define MAX_COPIES 12
 
@@ -93,7 +94,7 @@
 					 : EVACUATION_DROP_ASKED;
 }
 
-/* Whether this is a good moment to move, or the last one. */
+/* Whether the other engine reads no prompts now, or time is running out. */
 static bool may_move(const struct evacuation_input *input, bool reads_prompts)
 {
 	return input->under_notice_us > LEAVE_UNTIL_US || !reads_prompts;
@@ -215,10 +216,10 @@
  * Whether a run is expected to end before its engine under notice does; such a
  * run needs no other engine. Both counts are in tokens.
  */
-bool evacuation_ends_in_time(int64_t made_tokens, int64_t expected_tokens)
+bool evacuation_ends_in_time(int64_t output_tokens, int64_t expected_tokens)
 {
-	return made_tokens < expected_tokens &&
-	       expected_tokens - made_tokens < TOKENS_AFTER_NOTICE;
+	return output_tokens < expected_tokens &&
+	       expected_tokens - output_tokens < TOKENS_AFTER_NOTICE;
 }
 
 /* Returns the name of an action, a static string for logs and tables. */
--- a/core/gateway/evacuation.h
+++ b/core/gateway/evacuation.h
@@ -50,11 +50,11 @@
 enum evacuation {
 	EVACUATION_STAY,
 	EVACUATION_BEGIN_COPY,	/* the engine copies the run to another one */
-	EVACUATION_DROP_COPY,	/* it timed out, or its target is gone */
+	EVACUATION_DROP_COPY,	/* the copy timed out, or its target is gone */
 	EVACUATION_ASK_COPY,	/* ask the target to continue from the copy */
 	EVACUATION_ASK_BACKUP,	/* ask an engine to continue from the backup */
 	EVACUATION_RELEASE_OLD, /* the asked engine takes the run over */
-	EVACUATION_DROP_ASKED,	/* it is out of reach: the old one continues */
+	EVACUATION_DROP_ASKED,	/* out of reach: the old engine continues */
 	EVACUATION_GIVE_UP	/* the engine is silent and counts as failed */
 };
 
@@ -69,7 +69,7 @@
 enum evacuation_source evacuation_source(const struct evacuation_input *input);
 const char *evacuation_name(enum evacuation evacuation);
 
-bool evacuation_ends_in_time(int64_t made_tokens, int64_t expected_tokens);
+bool evacuation_ends_in_time(int64_t output_tokens, int64_t expected_tokens);
 
 G_END_DECLS
 
--- a/core/gateway/join_sync.c
+++ b/core/gateway/join_sync.c
@@ -1,6 +1,6 @@
 #include "core/gateway/join_sync.h"
 
-/* Mean number of senders. In one start of 400 no node sends the list. */
+/* Mean number of senders. With 6, no node sends the list in 1 start of 400. */
 #define MEAN_SENDERS 6.0
 
 /*
--- a/core/gateway/recovery.c
+++ b/core/gateway/recovery.c
@@ -2,8 +2,8 @@
 
 /*
  * Sends of one request, including those that endpoints refused without running
- * it. Each draws on the retry budget, and a request that three endpoints refuse
- * the fourth would refuse as well.
+ * it. Each draws on the retry budget, and a fourth endpoint would also refuse a
+ * request that three endpoints refused.
  */
 #define MAX_SENDS 3
 
--- a/core/gateway/registry.c
+++ b/core/gateway/registry.c
@@ -334,10 +334,11 @@
 }
 
 /*
- * Lets endpoints return whose time aside has passed, treats those as gone whose
- * removal has been in doubt since doubted_before_us or longer, and removes
- * those that have been gone for a minute and hold nothing of this node. Appends
- * the ids of changed endpoints to changed, which owns them.
+ * Returns endpoints to use when their time aside has passed. Treats endpoints
+ * as gone whose removal has been in doubt since doubted_before_us or longer.
+ * Removes endpoints that have been gone for a minute and hold no request or
+ * copy of this node. Appends the ids of changed endpoints to changed, which
+ * owns them.
  */
 void registry_step(struct registry *registry, int64_t doubted_before_us,
 		   int64_t now_us, GPtrArray *changed)
--- a/core/gateway/store_doubt.c
+++ b/core/gateway/store_doubt.c
@@ -7,10 +7,10 @@
 #define RENEWAL_GRACE_US (2500 * 1000)
 
 /*
- * A node that has just started to ask the store saw no outage, and doubts
- * removals only in case an outage ended as it started. The doubt keeps a
- * leaving endpoint in use, and must not last longer than an endpoint serves
- * after its notice.
+ * A node that has just started has seen no outage itself. It doubts removals
+ * for this time in case an outage ended just before. The doubt keeps a leaving
+ * endpoint in use, and must not last longer than an endpoint serves after its
+ * notice.
  */
 #define STARTUP_GRACE_US (2000 * 1000)
 
@@ -41,9 +41,9 @@
 /*
  * Whether the store may be away: this node can't reach it, or got no answer
  * recently and a sentinel lost it while no other reaches it. A sentinel that
- * alone is cut off announces the same as one in an outage. When it counted for
- * more than this node's own answers, engines that had left stayed in use for as
- * long as the sentinel was cut off.
+ * alone is cut off announces the same as one in an outage. When its
+ * announcement overrode the answers that this node got itself, engines that had
+ * left stayed in use for as long as the sentinel was cut off.
  */
 bool store_doubt_suspects_outage(const struct store_doubt *doubt,
 				 const struct store_view *view, int64_t now_us)
@@ -72,9 +72,9 @@
 }
 
 /*
- * Returns the time up to which doubts are over: endpoints in doubt since then
- * or earlier are gone. INT64_MIN: no doubt is over. Doubts that began during an
- * outage end together, however late they began. If each had a period of its
+ * Returns the time for registry_step: endpoints whose removal has been in doubt
+ * since then or longer are gone. INT64_MIN: none is. Doubts that began during
+ * an outage end together, however late they began. If each had a period of its
  * own, an endpoint that left just before the end would stay in use long after
  * all other nodes gave it up.
  */
--- a/core/gateway/table_fetch.c
+++ b/core/gateway/table_fetch.c
@@ -1,9 +1,16 @@
 #include "core/gateway/table_fetch.h"
 
-/* A working watch delivers a change sooner than this. */
+/*
+ * Wait before the store is read for a newer configuration, and after the read
+ * before a node is asked: a working watch delivers the change sooner.
+ */
 #define STORE_WAIT_US (600 * 1000)
 
-/* After this more nodes have the change, and not all ask the first one. */
+/*
+ * Wait of a node that can't reach the store before it asks another node. By
+ * then several nodes have the change, so the requests do not all go to the
+ * first one.
+ */
 #define SPREAD_DELAY_US (200 * 1000)
 
 /* A copy of half a MB has arrived by then, unless it was lost. */
