--- a/fakes/kv_gateway.c
+++ b/fakes/kv_gateway.c
@@ -342,8 +342,7 @@
 		break;
 	case KV_CALL_WATCH:
 	case KV_CALL_COUNT:
-		status = answer_error(builder, 400, 3,
-				      "watch is not a unary call");
+		status = answer_error(builder, 400, 3, "not answered at once");
 		break;
 	}
 	if (status == 200)
--- a/fakes/platform_store.c
+++ b/fakes/platform_store.c
@@ -288,8 +288,7 @@
 	const char *value;
 
 	if (!object || !json_object_has_member(object, "key")) {
-		fake_message_answer_text(message, 400,
-					 "body must be JSON with a key");
+		fake_message_answer_text(message, 400, "key and value");
 		return;
 	}
 	value = json_object_get_string_member_with_default(object, "value",
@@ -324,8 +323,7 @@
 	while (store->watches->len > 0) {
 		struct watch *watch = g_ptr_array_index(store->watches, 0);
 
-		fake_message_answer_text(watch->message, status,
-					 "watch aborted");
+		fake_message_answer_text(watch->message, status, "cut");
 		soup_server_message_unpause(watch->message);
 		g_ptr_array_remove(store->watches, watch);
 	}
--- a/fakes/platform_store_change.c
+++ b/fakes/platform_store_change.c
@@ -156,7 +156,7 @@
 		return;
 	change = fake_message_read_json(message);
 	if (!change) {
-		fake_message_answer_text(message, 400, "body is not JSON");
+		fake_message_answer_text(message, 400, "no change");
 		return;
 	}
 	if (!apply_without_answer(store, message, change)) {
@@ -168,8 +168,7 @@
 			send_conflict(store, message,
 				      get_array(change, "expected"));
 		else
-			fake_message_answer_text(message, status,
-						 "no such lease");
+			fake_message_answer_text(message, status, "no lease");
 	}
 	json_object_unref(change);
 }
@@ -258,8 +257,7 @@
 			: 0;
 	g_clear_pointer(&object, json_object_unref);
 	if (ttl_ms <= 0 || ttl_ms > MAX_LEASE_MS) {
-		fake_message_answer_text(message, 400,
-					 "ttl_ms is out of range");
+		fake_message_answer_text(message, 400, "ttl_ms");
 		return;
 	}
 	lease = g_new0(struct lease, 1);
@@ -291,7 +289,7 @@
 		return;
 	lease = lease_of(store, path);
 	if (!lease) {
-		fake_message_answer_text(message, 404, "no such lease");
+		fake_message_answer_text(message, 404, "no lease");
 		return;
 	}
 	lease_renew(lease);
