--- a/adapters/gateway/exchange_move.c
+++ b/adapters/gateway/exchange_move.c
@@ -190,7 +190,7 @@
 	criteria.avoid_id = exchange->leg->endpoint_id;
 	criteria.failure_domain =
 		leg_endpoint(exchange->leg)->last_registration->failure_domain;
-	criteria.far_weight = OTHER_DOMAIN_WEIGHT;
+	criteria.other_domain_weight = OTHER_DOMAIN_WEIGHT;
 	target = endpoint_choose_for_move(gateway->registry, &criteria);
 	if (!target)
 		return;
--- a/adapters/gateway/exchange_recover.c
+++ b/adapters/gateway/exchange_recover.c
@@ -48,9 +48,10 @@
 
 	if (!next)
 		return;
-	input->is_asked = true;
+	input->takeover_requested = true;
 	input->asked_is_connected = attempt_is_connected(next->attempt);
-	input->asked_us = exchange->gateway->now_us - next->sent_us;
+	input->takeover_requested_us =
+		exchange->gateway->now_us - next->sent_us;
 }
 
 static void read_copy(const struct exchange *exchange,
@@ -61,7 +62,8 @@
 	input->can_copy = exchange->service->engine.can_move;
 	input->copy = exchange->move.state;
 	input->copy_failures = exchange->move.failures;
-	input->copy_us = exchange->gateway->now_us - exchange->move.since_us;
+	input->copy_elapsed_us =
+		exchange->gateway->now_us - exchange->move.since_us;
 	input->target_serves = target != NULL;
 	input->target_reads_prompts =
 		target && endpoint_has_unread_prompts(target);
@@ -320,7 +322,7 @@
 	case RECOVERY_FAIL:
 		exchange_refuse(exchange, 502, -1, attempt_result_name(result));
 		break;
-	case RECOVERY_BREAK:
+	case RECOVERY_ABORT:
 		exchange_abort(exchange, attempt_result_name(result));
 		break;
 	}
--- a/bench/capacity_bench.c
+++ b/bench/capacity_bench.c
@@ -35,7 +35,7 @@
 static void print_record_types(const struct region_cost *cost)
 {
 	printf("    bytes/s by record:");
-	for (int i = 0; i < PEER_MESSAGE_TYPES; i++) {
+	for (int i = 0; i < PEER_MESSAGE_TYPE_COUNT; i++) {
 		if (cost->bytes_by_type[i] >= 1)
 			printf(" %s %.0f",
 			       peer_message_type_name(
--- a/bench/fleet_change.c
+++ b/bench/fleet_change.c
@@ -37,7 +37,7 @@
 			     ? generation->delivered % 32
 			     : generation->delivered - copy->generated;
 	generation->asked_server = copy->holder;
-	generation->asked_us = fleet->now_us;
+	generation->takeover_requested_us = fleet->now_us;
 	generation->asked_load_tokens = fleet_load_tokens(generation);
 	fleet_copy_drop(fleet, copy);
 	fleet_add_load(fleet, generation->asked_server, 1,
@@ -55,7 +55,7 @@
 	generation->copy_since_us = fleet->now_us;
 	fleet_fill_criteria(fleet, generation, &criteria);
 	criteria.failure_domain = generation->server->domain;
-	criteria.far_weight = 0.3;
+	criteria.other_domain_weight = 0.3;
 	copy->holder = fleet_server_of(
 		fleet, endpoint_choose_for_move(fleet->registry, &criteria));
 	if (!copy->holder)
@@ -105,10 +105,11 @@
 						     generation->output_tokens);
 	input.budget_left = true;
 	input.can_copy = fleet_policy_moves(fleet);
-	input.copy_us = fleet->now_us - generation->copy_since_us;
-	input.is_asked = generation->asked_server != NULL;
+	input.copy_elapsed_us = fleet->now_us - generation->copy_since_us;
+	input.takeover_requested = generation->asked_server != NULL;
 	input.asked_is_connected = true;
-	input.asked_us = fleet->now_us - generation->asked_us;
+	input.takeover_requested_us =
+		fleet->now_us - generation->takeover_requested_us;
 	if (input.has_backup)
 		input.backup_reads_prompts = endpoint_has_unread_prompts(
 			fleet_endpoint(fleet, generation->backup.holder));
--- a/bench/fleet_state.h
+++ b/bench/fleet_state.h
@@ -78,7 +78,7 @@
 	bool backup_failed;
 	struct fleet_server *asked_server; /* to take over; NULL: none */
 	struct fleet_engine_run *asked_run;
-	int64_t asked_us;
+	int64_t takeover_requested_us;
 	int64_t asked_load_tokens;
 };
 
--- a/bench/region.h
+++ b/bench/region.h
@@ -42,7 +42,7 @@
 	double calls_per_s;
 	double open_calls; /* in flight at the end of the measurement */
 	double grant_us;   /* processor time of a home per request to place */
-	double bytes_by_type[PEER_MESSAGE_TYPES];
+	double bytes_by_type[PEER_MESSAGE_TYPE_COUNT];
 };
 
 struct region;
--- a/bench/region_state.h
+++ b/bench/region_state.h
@@ -62,7 +62,7 @@
 	uint64_t grants;
 	uint64_t records;
 	uint64_t bytes;
-	uint64_t bytes_by_type[PEER_MESSAGE_TYPES];
+	uint64_t bytes_by_type[PEER_MESSAGE_TYPE_COUNT];
 	uint64_t kv_calls;
 	uint64_t polls;
 	uint64_t calls;
--- a/bench/slope.c
+++ b/bench/slope.c
@@ -162,7 +162,7 @@
 		printf("%8d %12.2f %12.2f %10u\n", sizes[i],
 		       slope.decide_us / DECISIONS,
 		       slope.progress_us / DECISIONS,
-		       placement_waiting(slope.placement));
+		       placement_waiting_count(slope.placement));
 		g_array_unref(slope.tickets);
 		g_array_unref(slope.started_at_us);
 		g_array_unref(slope.decisions);
--- a/codec/peer_codec.c
+++ b/codec/peer_codec.c
@@ -33,7 +33,7 @@
 
 static const uint8_t magic[] = {'S', 'K', 'L', FORMAT_VERSION};
 
-static const char *const body_formats[PEER_MESSAGE_TYPES] = {
+static const char *const body_formats[PEER_MESSAGE_TYPE_COUNT] = {
 	[PEER_PING] = "(ttsssa" MEMBER_FORMAT ")",
 	[PEER_ACK] = "(ttsssa" MEMBER_FORMAT ")",
 	[PEER_PROBE] = "(ttsssa" MEMBER_FORMAT ")",
@@ -189,7 +189,7 @@
 	case PEER_LIMIT_REPORT:
 	case PEER_LIMIT_SHARE:
 		return encode_limits(message);
-	case PEER_MESSAGE_TYPES:
+	case PEER_MESSAGE_TYPE_COUNT:
 		break;
 	}
 	return NULL;
@@ -497,7 +497,7 @@
 	case PEER_LIMIT_REPORT:
 	case PEER_LIMIT_SHARE:
 		return decode_limits(body, message, error);
-	case PEER_MESSAGE_TYPES:
+	case PEER_MESSAGE_TYPE_COUNT:
 		break;
 	}
 	return false;
@@ -550,7 +550,7 @@
 		return decode_fail(error, ERROR_INVALID, "",
 				   "unknown magic or version");
 	return check(error, "",
-		     data[4] < PEER_MESSAGE_TYPES &&
+		     data[4] < PEER_MESSAGE_TYPE_COUNT &&
 			     memcmp(data + 5, zeros, sizeof(zeros)) == 0,
 		     "unknown type");
 }
--- a/core/gateway/endpoint_choice.c
+++ b/core/gateway/endpoint_choice.c
@@ -199,7 +199,7 @@
 
 	if (g_strcmp0(endpoint->last_registration->failure_domain,
 		      criteria->failure_domain))
-		score += MAX(criteria->far_weight, FAR_WEIGHT);
+		score += MAX(criteria->other_domain_weight, FAR_WEIGHT);
 	if (endpoint->warm_us > criteria->now_us)
 		score += COLD_WEIGHT;
 	score += ERROR_WEIGHT * endpoint->error_share;
--- a/core/gateway/endpoint_choice.h
+++ b/core/gateway/endpoint_choice.h
@@ -19,9 +19,9 @@
 	const char *service;
 	const struct engine_capabilities *engine; /* slots 0: a plain service */
 	const char *failure_domain;		  /* the preferred one */
-	double far_weight;	/* penalty of another one; 0: default */
-	const GPtrArray *avoid; /* char *: endpoint ids, or NULL */
-	const char *avoid_id;	/* one more endpoint id, or NULL */
+	double other_domain_weight; /* penalty of another one; 0: default */
+	const GPtrArray *avoid;	    /* char *: endpoint ids, or NULL */
+	const char *avoid_id;	    /* one more endpoint id, or NULL */
 	int64_t tokens; /* in memory at the expected end; 0: plain service */
 	int64_t now_us;
 	double draw; /* random, in [0, 1) */
--- a/core/gateway/evacuation.c
+++ b/core/gateway/evacuation.c
@@ -88,7 +88,7 @@
  */
 static enum evacuation decide_asked(const struct evacuation_input *input)
 {
-	if (input->asked_us <= OVERLAP_US)
+	if (input->takeover_requested_us <= OVERLAP_US)
 		return EVACUATION_STAY;
 	return input->asked_is_connected ? EVACUATION_RELEASE_OLD
 					 : EVACUATION_DROP_ASKED;
@@ -103,7 +103,8 @@
 static bool wants_copy(const struct evacuation_input *input)
 {
 	return input->can_copy && input->has_begun && !input->ends_in_time &&
-	       input->under_notice_us > 0 && input->copy_us >= COPY_RETRY_US &&
+	       input->under_notice_us > 0 &&
+	       input->copy_elapsed_us >= COPY_RETRY_US &&
 	       input->copy_failures < MAX_COPIES;
 }
 
@@ -114,8 +115,9 @@
 		return wants_copy(input) ? EVACUATION_BEGIN_COPY
 					 : EVACUATION_STAY;
 	case COPY_IN_PROGRESS:
-		return input->copy_us > COPY_TIMEOUT_US ? EVACUATION_DROP_COPY
-							: EVACUATION_STAY;
+		return input->copy_elapsed_us > COPY_TIMEOUT_US
+			       ? EVACUATION_DROP_COPY
+			       : EVACUATION_STAY;
 	case COPY_COMPLETE:
 		if (!input->target_serves)
 			return EVACUATION_DROP_COPY;
@@ -192,7 +194,7 @@
 	bool has_copy =
 		input->copy == COPY_IN_PROGRESS || input->copy == COPY_COMPLETE;
 
-	if (input->is_asked)
+	if (input->takeover_requested)
 		return decide_asked(input);
 	if (input->has_backup && !has_copy && backup_ready_in_time(input))
 		return decide_backup(input);
--- a/core/gateway/evacuation.h
+++ b/core/gateway/evacuation.h
@@ -37,14 +37,16 @@
 
 	bool can_copy;
 	enum evacuation_copy copy;
-	int32_t copy_failures; /* consecutive, such as engines without room */
-	int64_t copy_us;    /* since the copy began, or the last one failed */
-	bool target_serves; /* the engine that receives the copy */
+	int32_t copy_failures;	 /* consecutive, such as engines without room */
+	int64_t copy_elapsed_us; /* since the copy began, or the last one failed
+				  */
+	bool target_serves;	 /* the engine that receives the copy */
 	bool target_reads_prompts;
 
-	bool is_asked; /* another engine was asked to continue the run */
+	bool takeover_requested; /* another engine was asked to continue the run
+				  */
 	bool asked_is_connected;
-	int64_t asked_us; /* since that engine was asked */
+	int64_t takeover_requested_us; /* since that engine was asked */
 };
 
 enum evacuation {
--- a/core/gateway/recovery.c
+++ b/core/gateway/recovery.c
@@ -19,7 +19,7 @@
 	[RECOVERY_FORWARD] = "pass_on",
 	[RECOVERY_REFUSE] = "refuse",
 	[RECOVERY_FAIL] = "fail",
-	[RECOVERY_BREAK] = "break",
+	[RECOVERY_ABORT] = "break",
 };
 
 static bool may_send_again(const struct recovery_input *input)
@@ -71,7 +71,7 @@
 	if (input->kind == ROUTE_STREAM && input->copy_is_ready &&
 	    input->budget_left && input->result != RESULT_NO_COPY)
 		return RECOVERY_TAKE_OVER;
-	return RECOVERY_BREAK;
+	return RECOVERY_ABORT;
 }
 
 /* Returns the name of a result, a static string for logs. */
--- a/core/gateway/recovery.h
+++ b/core/gateway/recovery.h
@@ -42,7 +42,7 @@
 	RECOVERY_FORWARD,    /* forward the endpoint's own answer */
 	RECOVERY_REFUSE,     /* it has not run: the caller may retry */
 	RECOVERY_FAIL,	     /* it may have run: the outcome is unknown */
-	RECOVERY_BREAK	     /* cut off the answer so that the caller sees it */
+	RECOVERY_ABORT	     /* cut off the answer so that the caller sees it */
 };
 
 enum recovery recovery_decide(const struct recovery_input *input);
--- a/core/gateway/store_watch.c
+++ b/core/gateway/store_watch.c
@@ -20,15 +20,15 @@
  */
 struct store_watch store_watch_decide(const struct store_watch_input *input)
 {
-	bool retries_seldom = sentinel_retries_store(input);
-	bool is_informed = input->sentinel_reaches_store || retries_seldom;
+	bool slow_retry = sentinel_retries_store(input);
+	bool is_informed = input->sentinel_reaches_store || slow_retry;
 	bool follows =
 		input->is_sentinel || !is_informed || !input->knows_endpoints;
 
 	return (struct store_watch){
 		.entries = follows,
-		.closely = follows,
-		.retries_seldom = retries_seldom,
+		.probes_store = follows,
+		.slow_retry = slow_retry,
 	};
 }
 
@@ -36,6 +36,6 @@
 bool store_watch_equals(const struct store_watch *a,
 			const struct store_watch *b)
 {
-	return a->entries == b->entries && a->closely == b->closely &&
-	       a->retries_seldom == b->retries_seldom;
+	return a->entries == b->entries && a->probes_store == b->probes_store &&
+	       a->slow_retry == b->slow_retry;
 }
--- a/core/gateway/store_watch.h
+++ b/core/gateway/store_watch.h
@@ -12,10 +12,10 @@
  * makes grows with the number of nodes.
  */
 struct store_watch {
-	bool entries;	     /* follows the endpoints' entries itself */
-	bool closely;	     /* probes the store each second while it follows
-				the entries */
-	bool retries_seldom; /* retries seldom while the store is away */
+	bool entries;	   /* follows the endpoints' entries itself */
+	bool probes_store; /* probes the store each second while it follows
+		      the entries */
+	bool slow_retry;   /* retries seldom while the store is away */
 };
 
 struct store_watch_input {
--- a/core/message/peer_message.c
+++ b/core/message/peer_message.c
@@ -1,6 +1,6 @@
 #include "ports/peer_message.h"
 
-static const char *const type_names[PEER_MESSAGE_TYPES] = {
+static const char *const type_names[PEER_MESSAGE_TYPE_COUNT] = {
 	[PEER_PING] = "ping",
 	[PEER_ACK] = "ack",
 	[PEER_PROBE] = "probe",
@@ -82,7 +82,7 @@
 	case PEER_ROUTES:
 	case PEER_ROUTES_REQUEST:
 	case PEER_QUARANTINE:
-	case PEER_MESSAGE_TYPES:
+	case PEER_MESSAGE_TYPE_COUNT:
 		break;
 	}
 	return message;
@@ -140,7 +140,7 @@
 		break;
 	case PEER_REFUSED:
 	case PEER_RELEASE:
-	case PEER_MESSAGE_TYPES:
+	case PEER_MESSAGE_TYPE_COUNT:
 		break;
 	}
 }
@@ -159,7 +159,7 @@
 /* Returns the name of a type for log lines, or "unknown". */
 const char *peer_message_type_name(enum peer_message_type type)
 {
-	return type < PEER_MESSAGE_TYPES ? type_names[type] : "unknown";
+	return type < PEER_MESSAGE_TYPE_COUNT ? type_names[type] : "unknown";
 }
 
 /* Returns a deep copy, to be freed by member_destroy(). */
--- a/core/placement/placement.c
+++ b/core/placement/placement.c
@@ -301,7 +301,7 @@
 }
 
 /* Number of waiting requests. */
-uint32_t placement_waiting(const struct placement *placement)
+uint32_t placement_waiting_count(const struct placement *placement)
 {
 	return wait_queue_length(placement->queue);
 }
--- a/core/placement/placement.h
+++ b/core/placement/placement.h
@@ -124,7 +124,7 @@
 
 const struct placement_counts *
 placement_counts(const struct placement *placement);
-uint32_t placement_waiting(const struct placement *placement);
+uint32_t placement_waiting_count(const struct placement *placement);
 void placement_step(struct placement *placement, int64_t now_us,
 		    GArray *decisions);
 int64_t placement_next_due_us(const struct placement *placement);
--- a/core/placement/placement_dump.c
+++ b/core/placement/placement_dump.c
@@ -35,7 +35,7 @@
 		dump_book(&list, g_ptr_array_index(placement->books, i));
 	g_variant_dict_init(&dict, NULL);
 	g_variant_dict_insert(&dict, "waiting", "u",
-			      placement_waiting(placement));
+			      placement_waiting_count(placement));
 	g_variant_dict_insert(&dict, "placed", "t", counts->placed);
 	g_variant_dict_insert(&dict, "refused", "t", counts->refused);
 	g_variant_dict_insert(&dict, "put_aside", "t", counts->put_aside);
--- a/daemons/gateway_wiring.c
+++ b/daemons/gateway_wiring.c
@@ -154,11 +154,11 @@
 	 * With slow retries the node waits for a lost store: its entries then
 	 * do not come from other nodes, even if it does not watch them itself.
 	 */
-	wiring->entries_from_nodes = !watch->entries && !watch->retries_seldom;
+	wiring->entries_from_nodes = !watch->entries && !watch->slow_retry;
 	store_follower_set_active(wiring->entries, watch->entries);
-	store_follower_set_probing(wiring->entries, watch->closely);
-	store_follower_set_slow_retry(wiring->entries, watch->retries_seldom);
-	store_follower_set_slow_retry(wiring->document, watch->retries_seldom);
+	store_follower_set_probing(wiring->entries, watch->probes_store);
+	store_follower_set_slow_retry(wiring->entries, watch->slow_retry);
+	store_follower_set_slow_retry(wiring->document, watch->slow_retry);
 	wiring_update_store_reached(wiring);
 }
 
--- a/fakes/platform_store.c
+++ b/fakes/platform_store.c
@@ -377,7 +377,7 @@
 	fake_server_add_handler(server, "/fake/delete", on_put_or_delete,
 				store);
 	fake_server_add_handler(server, "/fake/calls", on_call_count, store);
-	platform_store_add_switches(store, server);
+	platform_store_add_modes(store, server);
 	return store;
 }
 
--- a/fakes/platform_store_fault.c
+++ b/fakes/platform_store_fault.c
@@ -228,8 +228,8 @@
 }
 
 /* Registers the faults as switches of POST /fake/mode. */
-void platform_store_add_switches(struct platform_store *store,
-				 struct fake_server *server)
+void platform_store_add_modes(struct platform_store *store,
+			      struct fake_server *server)
 {
 	const struct fake_mode modes[MODE_COUNT] = {
 		{"down", FAKE_MODE_BOOL, &store->down},
--- a/fakes/platform_store_state.h
+++ b/fakes/platform_store_state.h
@@ -94,8 +94,8 @@
 				struct fake_server *server, const char *path,
 				fake_server_handler run);
 void platform_store_delayed_free(gpointer data);
-void platform_store_add_switches(struct platform_store *store,
-				 struct fake_server *server);
+void platform_store_add_modes(struct platform_store *store,
+			      struct fake_server *server);
 int64_t platform_store_read_revision(const struct platform_store *store,
 				     bool may_be_stale);
 
--- a/ports/peer_message.h
+++ b/ports/peer_message.h
@@ -35,7 +35,7 @@
 	PEER_CHOOSE,	   /* gateway: requests an engine from its home */
 	PEER_CHOSEN,	   /* home: answer to PEER_CHOOSE */
 	PEER_ROUTES_REQUEST, /* gateway: requests newer routes, if any */
-	PEER_MESSAGE_TYPES
+	PEER_MESSAGE_TYPE_COUNT
 };
 
 enum member_state {
--- a/tests/endpoint_choice_test.cc
+++ b/tests/endpoint_choice_test.cc
@@ -187,7 +187,7 @@
 	add("near", 12000, 4);
 	add("far", 8000, 3, "b");
 	EXPECT_EQ("far", choose());
-	criteria.far_weight = 0.3;
+	criteria.other_domain_weight = 0.3;
 	EXPECT_EQ("near", choose());
 }
 
--- a/tests/evacuation_script.cc
+++ b/tests/evacuation_script.cc
@@ -44,7 +44,7 @@
 	enum evacuation_copy copy = COPY_NONE;
 	int64_t copy_from = kStartMs - 1000;
 	int32_t refusals = 0;
-	bool is_asked = false;
+	bool takeover_requested = false;
 	bool asked_backup = false;
 	int64_t asked_at = 0;
 	int64_t last_event = kStartMs; /* received by the caller */
@@ -119,7 +119,7 @@
 
 	void Ask(bool backup)
 	{
-		is_asked = true;
+		takeover_requested = true;
 		asked_backup = backup;
 		asked_at = now;
 	}
@@ -127,14 +127,14 @@
 	/* The engine that was asked continues, or replies "no copy". */
 	void StepAsked()
 	{
-		if (!is_asked || !scene.connects)
+		if (!takeover_requested || !scene.connects)
 			return;
 		if (asked_backup &&
 		    (scene.backup_is_missing ||
 		     asked_at < scene.begun + scene.backup_takes)) {
 			if (now - asked_at < kRefusalMs)
 				return;
-			is_asked = false;
+			takeover_requested = false;
 			backup_failed = true;
 			Log("no copy");
 			if (!OldWorks())
@@ -172,7 +172,8 @@
 		struct evacuation_input input = Input();
 
 		input.failed_in_reach = scene.silent < 0;
-		if (!is_old || now < scene.end || is_asked || finished)
+		if (!is_old || now < scene.end || takeover_requested ||
+		    finished)
 			return;
 		result.had_copy = BackupExists() ||
 				  (copy == COPY_COMPLETE && TargetServes());
@@ -208,12 +209,12 @@
 		input.can_copy = true;
 		input.copy = copy;
 		input.copy_failures = failures;
-		input.copy_us = (now - copy_from) * kUsPerMs;
+		input.copy_elapsed_us = (now - copy_from) * kUsPerMs;
 		input.target_serves = TargetServes();
 		input.target_reads_prompts = ReadsPrompts();
-		input.is_asked = is_asked;
+		input.takeover_requested = takeover_requested;
 		input.asked_is_connected = scene.connects;
-		input.asked_us = (now - asked_at) * kUsPerMs;
+		input.takeover_requested_us = (now - asked_at) * kUsPerMs;
 		return input;
 	}
 
@@ -246,7 +247,7 @@
 			is_old = false;
 			break;
 		case EVACUATION_DROP_ASKED:
-			is_asked = false;
+			takeover_requested = false;
 			backup_failed = backup_failed || asked_backup;
 			break;
 		case EVACUATION_GIVE_UP:
--- a/tests/peer_codec_test.cc
+++ b/tests/peer_codec_test.cc
@@ -211,7 +211,7 @@
 /* Re-encoding a decoded message must give the same bytes. */
 TEST(PeerCodec, RoundTripsEveryType)
 {
-	for (int type = 0; type < PEER_MESSAGE_TYPES; type++) {
+	for (int type = 0; type < PEER_MESSAGE_TYPE_COUNT; type++) {
 		std::vector<uint8_t> bytes = encode_type(type);
 		struct error error;
 		struct peer_message *message = decode(bytes, &error);
@@ -390,7 +390,7 @@
 
 TEST(PeerCodec, RefusesEveryTruncation)
 {
-	for (int type = 0; type < PEER_MESSAGE_TYPES; type++) {
+	for (int type = 0; type < PEER_MESSAGE_TYPE_COUNT; type++) {
 		std::vector<uint8_t> bytes = encode_type(type);
 
 		for (size_t size = 0; size < bytes.size(); size++) {
@@ -412,7 +412,7 @@
 {
 	GRand *random = g_rand_new_with_seed(7);
 
-	for (int type = 0; type < PEER_MESSAGE_TYPES; type++) {
+	for (int type = 0; type < PEER_MESSAGE_TYPE_COUNT; type++) {
 		const std::vector<uint8_t> bytes = encode_type(type);
 
 		for (size_t i = 0; i < bytes.size() * 16; i++) {
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -114,13 +114,13 @@
 	EXPECT_GT(placed.size(), 6u);
 	EXPECT_LT(placed.size(), 26u);
 	EXPECT_NEAR(counts()[name(0)], counts()[name(1)], 1);
-	waiting = (int)placement_waiting(placement);
+	waiting = (int)placement_waiting_count(placement);
 	EXPECT_EQ(60, (int)placed.size() + waiting);
 	now += SECOND;
 	for (uint64_t ticket = 1; ticket <= 6; ticket++)
 		release(ticket, RELEASE_COMPLETE, 300);
 	step();
-	EXPECT_LT((int)placement_waiting(placement), waiting);
+	EXPECT_LT((int)placement_waiting_count(placement), waiting);
 }
 
 /*
@@ -162,7 +162,7 @@
 		step();
 	}
 	EXPECT_EQ(2u, placed.size());
-	EXPECT_GE(placement_waiting(placement), 4u);
+	EXPECT_GE(placement_waiting_count(placement), 4u);
 	EXPECT_GE(refused.size(), 10u);
 	for (auto &item : refused) {
 		EXPECT_EQ(REFUSAL_DEADLINE, item.second);
@@ -189,7 +189,7 @@
 	for (int i = 0; i < 5; i++)
 		others.push_back(submit("small", 1));
 	step();
-	EXPECT_EQ(50u, placement_waiting(placement));
+	EXPECT_EQ(50u, placement_waiting_count(placement));
 	for (uint64_t ticket : others)
 		EXPECT_EQ(0u, refused.count(ticket));
 	for (int i = 0; i < 10; i++) {
@@ -331,7 +331,7 @@
 	submit("a", 1);
 	step();
 	EXPECT_EQ(1u, placement_counts(placement)->placed);
-	EXPECT_EQ(0u, placement_waiting(placement));
+	EXPECT_EQ(0u, placement_waiting_count(placement));
 }
 
 /*
@@ -455,7 +455,7 @@
 	for (int i = 0; i < 40; i++)
 		submit("a", 2000);
 	step();
-	EXPECT_GT(placement_waiting(placement), 20u);
+	EXPECT_GT(placement_waiting_count(placement), 20u);
 	now += 3 * SECOND;
 	step();
 	check = submit("a", 80, now + 5 * SECOND);
--- a/tests/store_watch_test.cc
+++ b/tests/store_watch_test.cc
@@ -24,10 +24,10 @@
 	struct store_watch_input one = Node(true), other = Node(false);
 
 	EXPECT_TRUE(store_watch_decide(&one).entries);
-	EXPECT_TRUE(store_watch_decide(&one).closely);
+	EXPECT_TRUE(store_watch_decide(&one).probes_store);
 	EXPECT_FALSE(store_watch_decide(&other).entries);
-	EXPECT_FALSE(store_watch_decide(&other).closely);
-	EXPECT_FALSE(store_watch_decide(&other).retries_seldom);
+	EXPECT_FALSE(store_watch_decide(&other).probes_store);
+	EXPECT_FALSE(store_watch_decide(&other).slow_retry);
 }
 
 /*
@@ -46,9 +46,9 @@
 	other.reaches_store = false;
 	other.sentinel_reaches_store = false;
 	other.sentinel_lost_store = true;
-	EXPECT_FALSE(store_watch_decide(&one).retries_seldom);
+	EXPECT_FALSE(store_watch_decide(&one).slow_retry);
 	EXPECT_TRUE(store_watch_decide(&one).entries);
-	EXPECT_TRUE(store_watch_decide(&other).retries_seldom);
+	EXPECT_TRUE(store_watch_decide(&other).slow_retry);
 	EXPECT_FALSE(store_watch_decide(&other).entries);
 }
 
@@ -58,7 +58,7 @@
 	struct store_watch_input input = Node(false);
 
 	input.reaches_store = false;
-	EXPECT_FALSE(store_watch_decide(&input).retries_seldom);
+	EXPECT_FALSE(store_watch_decide(&input).slow_retry);
 }
 
 /* The sentinels are cut off and this node is not: it follows the entries. */
@@ -69,8 +69,8 @@
 	input.sentinel_reaches_store = false;
 	input.sentinel_lost_store = true;
 	EXPECT_TRUE(store_watch_decide(&input).entries);
-	EXPECT_TRUE(store_watch_decide(&input).closely);
-	EXPECT_FALSE(store_watch_decide(&input).retries_seldom);
+	EXPECT_TRUE(store_watch_decide(&input).probes_store);
+	EXPECT_FALSE(store_watch_decide(&input).slow_retry);
 }
 
 /* After a start, or cut off from all nodes: no sentinel informs this node. */
@@ -81,7 +81,7 @@
 	input.reaches_store = false;
 	input.sentinel_reaches_store = false;
 	EXPECT_TRUE(store_watch_decide(&input).entries);
-	EXPECT_FALSE(store_watch_decide(&input).retries_seldom);
+	EXPECT_FALSE(store_watch_decide(&input).slow_retry);
 	input = Node(false);
 	input.knows_endpoints = false;
 	EXPECT_TRUE(store_watch_decide(&input).entries);
